--- a/hibiscusstep/forwarding/__init__.py
+++ b/hibiscusstep/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""hibiscusstep.forwarding: requests passed on to targets as they are."""
+"""hibiscusstep.forwarding: forwards HTTP requests to targets unchanged."""
--- a/hibiscusstep/forwarding/bounds.py
+++ b/hibiscusstep/forwarding/bounds.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.bounds: what the place of operation sets."""
+"""hibiscusstep.forwarding.bounds: limits and settings of a forwarding instance."""
 
 from dataclasses import dataclass, field
 
@@ -11,19 +11,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Limits that hold for all instances together, and times.
+    """Limits for all instances together, and timing parameters.
 
     Parameters
     ----------
     stop_grace : float
-        Seconds from the signal to stop until the process is killed.
+        Seconds from the stop signal until the process is killed.
     retry_share, retry_reserve, retry_window : float
-        Repeats within a window (seconds): a share of the requests and some beside.
+        Retries allowed within a window (seconds): a share of the requests and a
+        constant number on top.
     quota_window, quota_overage, quota_slack : float
-        A customer's tokens in a window (seconds) may exceed its quota by a share
-        and by some tokens.
+        A customer's tokens in a window (seconds) may exceed its quota by a share and a
+        constant number of tokens.
     exposure : ExposureLimits
-        What a version may get that is not proved.
+        Limits on the requests sent to a version that is not yet proven.
     """
 
     stop_grace: float = 8.0
@@ -38,28 +39,30 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceSettings:
-    """What one forwarding instance is told at its start.
+    """Settings of one forwarding instance, fixed at its start.
 
     Parameters
     ----------
     name, data_centre, region : str
-        The instance, where it runs, and the region whose instances work together.
+        Name of the instance, its location, and the region whose instances cooperate.
     caller_address, operator_address, peer_address : str
-        IP number and port for callers, for metrics, and for the other instances.
+        IP address and port for callers, for metrics, and for the other instances.
     peer_key : str
-        Secret shared by the instances.
+        Secret shared by all instances.
     seeds : tuple of str
-        Peer addresses known from the start.
+        Peer addresses known at the start.
     heartbeat_interval, suspect_after : float
-        Seconds between heartbeats, and of silence until a peer is gone.
+        Seconds between heartbeats, and seconds of silence until a peer is taken to be
+        gone.
     capacity : int
         As in `hibiscusstep.store.InstanceRecord`.
     mesh_size : int
-        Up to so many instances all speak to all; beyond, over relays.
+        Maximum number of instances in a full mesh; larger groups communicate over
+        relays.
     switches : Switches
-        Which mechanisms of the dispatchers are on.
+        The enabled dispatcher mechanisms.
     log_style, log_level : str
-        As in the settings of an entry instance.
+        As in `hibiscusstep.configuration.settings.Settings`.
     """
 
     name: str
--- a/hibiscusstep/forwarding/dialect.py
+++ b/hibiscusstep/forwarding/dialect.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.dialect: how requests and answers spell what we need."""
+"""hibiscusstep.forwarding.dialect: interface to the header fields of a platform."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Iterable, Sequence
@@ -11,26 +11,26 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """What a caller's header fields say.
+    """Parsed header fields of a caller's request.
 
     Parameters
     ----------
     request : str
-        The caller's id of this attempt, "" if it gave none.
+        The caller's id of this attempt, "" if there is none.
     key : str
         The customer's key.
     patience : float or None
-        Seconds for which the caller waits.
+        Seconds for which the caller waits; None if not declared.
     prompt_tokens, output_tokens : int
-        As the caller declares them; the second is the most it may get.
+        Tokens of the prompt and maximum tokens of the output, as the caller declares.
     expected_output : int
-        The caller's estimate of the output, `output_tokens` if it gives none.
+        The caller's estimate of the output tokens; `output_tokens` if not declared.
     counted : bool
-        Whether it declared tokens at all.
+        Whether the caller declared token counts.
     last_event : str
-        The id behind which a stream goes on, "" from its beginning.
+        Id of the event after which a stream resumes, "" to start at its beginning.
     prompt : str
-        Names of the prompt's parts, "" if it gives none.
+        Names of the prompt's parts, "" if not declared.
     """
 
     request: str
@@ -46,16 +46,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """What the system adds to a request that goes to a target.
+    """Values that are added to a request to a target.
 
     Parameters
     ----------
     target : str
-        The target that is meant; another one at its address refuses.
+        Id of the target; a different target at its address rejects the request.
     customer : str
-        The customer, "" if the route is public.
+        Name of the customer, "" if there is none.
     timeout : float
-        Seconds that are left.
+        Seconds until the request's deadline.
     last_event : str
         As in `RequestHead`.
     """
@@ -68,29 +68,29 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """What a target's header fields say.
+    """Parsed header fields of a target's response.
 
     Parameters
     ----------
     request : str
-        The id of the request that is answered.
+        Id of the request to which it responds.
     sealed : bool
-        Whether the target signed it.
+        Whether it carries the target's seal.
     not_run : bool
-        Whether the target says that it did not run the request.
+        Whether the target declares that it did not run the request.
     misdirected : bool
-        Whether another target has the address.
+        Whether a different target has the address.
     encoded : bool
-        Whether the body is not what the target wrote.
+        Whether the body was encoded after the target wrote it.
     running, waiting : int
-        The target's load; -1 if it does not say.
+        The target's running and waiting requests; -1 if not declared.
     idle_timeout : float
         Seconds for which the target keeps an idle connection; 0 if not known.
     leaving : bool
-        Whether the target says that it takes no new work.
+        Whether the target declares that it accepts no new work.
     stay_away : float
-        Seconds for which the target wants nothing more from this instance; 0 if it
-        does not say.
+        Seconds for which the target asks this instance to send no requests; 0 if not
+        declared.
     """
 
     request: str
@@ -106,20 +106,20 @@
 
 
 class Dialect(ABC):
-    """Reads and writes header fields."""
+    """Reads and writes a platform's header fields."""
 
     @abstractmethod
     def read_request(self, headers) -> RequestHead:
-        """Return what a caller's fields (a case-insensitive multidict) say."""
+        """Parse a caller's header fields (a case-insensitive multidict)."""
 
     @abstractmethod
     def order_fields(self, raw: Headers, order: Order) -> Iterable[tuple[bytes, bytes]]:
-        """Return the fields that go to a target, without those of the connection."""
+        """Return the header fields to send to a target, without hop-by-hop fields."""
 
     @abstractmethod
     def read_answer(self, status: int, headers) -> AnswerHead:
-        """Return what a target's fields say."""
+        """Parse the status and header fields of a target's response."""
 
     @abstractmethod
     def answer_fields(self, raw: Headers) -> Iterable[tuple[str, str]]:
-        """Return the fields of a target's answer that go to the caller."""
+        """Return the header fields of a target's response to send to the caller."""
--- a/hibiscusstep/forwarding/model.py
+++ b/hibiscusstep/forwarding/model.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.model: routes, customers and targets, checked."""
+"""hibiscusstep.forwarding.model: validated routes, customers, pools and targets."""
 
 import enum
 import random
@@ -19,7 +19,7 @@
 
 
 class Repeat(enum.Enum):
-    """What may be done again after a request was sent to a target."""
+    """Whether and how a request may be retried after it was sent to a target."""
 
     NEVER = "it runs at most once"
     WHOLE = "it may run again from its beginning"
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """A pool's share of a route's requests; `weight` is relative to the others."""
+    """A pool's share of a route's requests, by a weight relative to other pools."""
 
     pool: str
     weight: float
@@ -36,30 +36,30 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardRoute:
-    """Where the requests of a host and path prefix go.
+    """A rule that forwards the requests of a host and path prefix to pools.
 
     Parameters
     ----------
     name, host, prefix : str
-        The longest prefix of a host's routes wins.
+        The route with the longest matching prefix of a host applies.
     shares : tuple of Share
-        Pools that serve it.
+        Pools that serve the route.
     streaming : bool
-        Whether answers are server-sent events.
+        Whether responses are streams of server-sent events.
     repeat : Repeat
-        What may be done again.
+        Whether and how requests may be retried.
     timeout : float
-        Seconds until the end of the answer at the latest.
+        Maximum seconds from the receipt to the end of the response.
     objective : float
-        Seconds within which the answer (of a stream: its first event) is on time.
+        Seconds within which the response (of a stream: its first event) is on time.
     rank : int
         Priority, 0 the highest.
     max_attempts : int
-        Targets that one request may be sent to.
+        Maximum number of targets that one request is sent to.
     public : bool
-        Whether no key is needed.
+        Whether the route is open to callers without a customer's key.
     max_pause : float
-        Seconds between two events of a stream that is on time, at the most.
+        Maximum seconds between two events of a stream that is on time.
     """
 
     name: str
@@ -76,7 +76,7 @@
     max_pause: float = 1.0
 
     def choose_pool(self) -> str:
-        """Return the pool of the next request, drawn by weight."""
+        """Return a pool for a request, drawn at random by weight."""
         if len(self.shares) == 1:
             return self.shares[0].pool
         weights = [share.weight for share in self.shares]
@@ -85,16 +85,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """Tokens that a customer may use.
+    """A customer's limit on tokens.
 
     Parameters
     ----------
     rate : float
-        Tokens a second, summed over all instances; 0 is no limit.
+        Tokens per second, summed over all instances; 0 means unlimited.
     burst : float
-        Tokens beside them in any window.
+        Additional tokens in any window.
     plain_tokens : int
-        What a request without a token count is counted as.
+        Tokens charged for a request that declares no token count.
     """
 
     rate: float
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerRule:
-    """A customer: name, rank (None leaves the route's) and quota."""
+    """A customer, its keys, rank (None: only the route's counts) and quota."""
 
     name: str
     keys: frozenset[str] = field(repr=False)
@@ -114,16 +114,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolRule:
-    """A pool.
+    """Properties of a pool.
 
     Parameters
     ----------
     name : str
-        The pool.
+        Name of the pool.
     engine : bool
         Whether its targets are model engines.
     tokens_per_event : int
-        Tokens that an event of its streams holds.
+        Tokens per event of its streams.
     max_connections : int
         Connections that a target accepts from all instances together.
     """
@@ -136,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IngressLimits:
-    """What a caller may send, in bytes, and how long it may take, in seconds."""
+    """Limits on callers' requests: sizes in bytes, timeouts in seconds."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 << 20
@@ -151,13 +151,17 @@
     Parameters
     ----------
     version : int
-        Grows with each change.
-    routes, customers, pools : tuple
-        See their classes.
+        Increases with each change.
+    routes : tuple of ForwardRoute
+        All routes.
+    customers : tuple of CustomerRule
+        All customers.
+    pools : tuple of PoolRule
+        All pools.
     limits : IngressLimits
-        For callers.
+        Limits on callers' requests.
     value : bytes
-        The document it was read from, to hand on to peers.
+        The source document, which is sent to peers on request.
     """
 
     version: int
@@ -184,12 +188,12 @@
         return bool(self.customers)
 
     def route(self, host: str, path: str) -> ForwardRoute | None:
-        """Return the route of the longest prefix, None if there is none."""
+        """Return the route with the longest matching prefix, None if none matches."""
         routes = self._by_host.get(host, ())
         return next((route for route in routes if path.startswith(route.prefix)), None)
 
     def customer(self, key: str) -> CustomerRule | None:
-        """Return the customer that holds a key."""
+        """Return the customer that owns a key, None if there is none."""
         return self._by_key.get(key)
 
 
@@ -200,19 +204,19 @@
     Parameters
     ----------
     id : str
-        The target's own, which a later incarnation may bear again.
+        Id that the target registered; a restarted target may reuse it.
     pool, address, data_centre : str
-        What it serves, IP number and port, where it runs.
+        Pool that it serves, IP address and port, and location.
     slots : int
-        Requests that it works on at once.
+        Maximum number of concurrent requests.
     leaving : bool
-        Whether it takes no new work.
+        Whether it accepts no new work.
     revision : int
         The store's revision of this state.
     incarnation : int
-        Unix millisecond of its start; 0 if it does not say.
+        Unix time of its start in milliseconds; 0 if not registered.
     version : str
-        Of its software.
+        Software version.
     """
 
     id: str
@@ -227,9 +231,9 @@
 
     @property
     def name(self) -> str:
-        """Unique to one incarnation.
+        """Name that is unique to one incarnation.
 
-        Slots, speed, failures and connections are kept by this name, here and at other
-        instances, so what is known of one incarnation never counts for the next.
+        All instances key slots, speed, failures and connections by this name, so that
+        no state of one incarnation applies to the next.
         """
         return f"{self.id}@{self.incarnation}" if self.incarnation else self.id
--- a/hibiscusstep/forwarding/surroundings.py
+++ b/hibiscusstep/forwarding/surroundings.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.surroundings: what an adapter brings to an instance."""
+"""hibiscusstep.forwarding.surroundings: platform-specific parts of an instance."""
 
 import socket
 from collections.abc import Callable
@@ -21,43 +21,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Surroundings:
-    """What an adapter brings.
+    """Settings, stores and callbacks that a platform adapter provides to an instance.
 
     Parameters
     ----------
     settings : InstanceSettings
-        Of the instance.
+        Settings of the instance.
     bounds : Bounds
-        Times and limits of the place of operation.
+        Limits and times.
     ready_address, ready_path : str
-        Where a balancer asks whether callers may be sent here.
+        Address and path of the readiness check for a balancer.
     dialect : Dialect
-        Header fields.
+        Reads and writes the platform's header fields.
     tables, targets : Feed
-        The configuration and the targets' entries.
+        The configuration and the targets' entries in the store.
     roster : Roster
-        The instances.
+        Registered instances.
     beliefs : BeliefStore
-        Keeps what dispatchers learnt.
+        Persists the dispatchers' estimates of targets.
     use : UseStore
-        Keeps what customers used of their quotas.
+        Persists the customers' usage of their quotas.
     suspects : SuspectStore
-        Keeps which requests crash targets.
+        Persists which requests crash targets.
     rollouts : RolloutStore
-        Has operators' orders to change pools' versions.
+        Persists operators' rollouts of versions.
     register : callable
-        Returns an awaitable that puts this instance on the roster.
+        Returns an awaitable that adds this instance to the roster.
     read_table : callable of bytes
-        Makes a routing table of what a peer handed on.
+        Parses a routing table that a peer sent.
     read_bounds : callable
         Reads the bounds again.
     on_store_restored : callable of callable
-        Takes what is to be told when the store came back from an older copy: the eras
-        before and since.
+        Sets a callback for a restore of the store from an older copy; its arguments are
+        the eras before and after.
     close : callable
-        Returns an awaitable that gives back the sockets.
+        Returns an awaitable that closes the sockets.
     caller_socket : socket.socket or None
-        Listens for callers; None where the instance is to listen itself.
+        Listening socket for callers; None if the instance opens it.
     """
 
     settings: InstanceSettings
