--- a/hibiscusstep/forwarding/border.py
+++ b/hibiscusstep/forwarding/border.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.border: the HTTP border towards callers."""
+"""hibiscusstep.forwarding.border: the HTTP server for callers."""
 
 import asyncio
 import contextlib
@@ -7,105 +7,108 @@
 from aiohttp import web
 
 from hibiscusstep.forwarding.exchange import Exchange
-from hibiscusstep.forwarding.incoming import Incoming, Means
+from hibiscusstep.forwarding.incoming import ForwardingContext, Incoming
 from hibiscusstep.forwarding.model import (
     CustomerRule,
     ForwardRoute,
     IngressLimits,
     RoutingTable,
 )
-from hibiscusstep.forwarding.own_answer import own_answer
+from hibiscusstep.forwarding.own_answer import local_response
 from hibiscusstep.forwarding.quota import QuotaKeeper
 from hibiscusstep.forwarding.quota_claim import QUOTA_RETRY_S, QuotaClaim
 from hibiscusstep.log import decision
 
-__all__ = ["ForwardingBorder"]
+__all__ = ["CallerFrontend"]
 
-NOT_READY_RETRY_S = 0.5
-# A request that comes before the first configuration, or before it is heard what its
-# customer used, waits for it, this long and for half of its caller's patience at the
-# most: callers connect while an instance starts, and after a restart of all nobody
-# else is ready. Of a region of 19 instances 219 requests were refused in the half
-# second from listening to a configuration.
+NOT_READY_RETRY_AFTER_S = 0.5
+# A request that arrives before the first configuration, or before the usage of its
+# customer's quota is known, waits at most this long and at most half of its caller's
+# timeout. Callers connect while an instance starts, and when all instances restart no
+# other one is ready: a region of 19 instances refused 219 requests in the half second
+# between the start of listening and the first configuration.
 START_PATIENCE_S = 1.0
-# Another instance takes it at once.
-STOPPING_RETRY_S = 0.05
-# A stopping instance begins what may last beyond its end for so long; the balancer has
-# taken it out of its rotation by then.
-BEGIN_FOR_S = 2.8
+# Another instance can serve the request at once.
+STOPPING_RETRY_AFTER_S = 0.05
+# A stopping instance accepts requests that may outlast it for this long; after that the
+# balancer has removed it from its rotation.
+ACCEPT_ALL_AFTER_STOP_S = 2.8
 
 
-class _Rejected(Exception):
-    """The request is answered here."""
+class _RequestRejected(Exception):
+    """A request that the instance rejects without forwarding it."""
 
-    def __init__(self, status: int, why: str, retry_after: float | None = None) -> None:
-        super().__init__(why)
+    def __init__(
+        self, status: int, reason: str, retry_after: float | None = None
+    ) -> None:
+        super().__init__(reason)
         self.status = status
-        self.why = why
+        self.reason = reason
         self.retry_after = retry_after
 
 
-class ForwardingBorder:
-    """Admits callers' requests and starts an exchange for each.
+class CallerFrontend:
+    """Authenticates and admits callers' requests and starts an exchange for each.
 
     Parameters
     ----------
-    means : Means
-        What exchanges use.
+    context : ForwardingContext
+        Services shared by all exchanges.
     quotas : QuotaKeeper
-        Admits by customers' quotas.
+        Enforces customers' quotas.
     """
 
-    def __init__(self, means: Means, quotas: QuotaKeeper) -> None:
-        self._means = means
+    def __init__(self, context: ForwardingContext, quotas: QuotaKeeper) -> None:
+        self._context = context
         self._quotas = quotas
         self._table: RoutingTable | None = None
-        self._started = asyncio.Event()
+        self._table_received = asyncio.Event()
         self._open = 0
         self._idle = asyncio.Event()
         self._idle.set()
-        self._leaving = False
-        self._closed = False
-        self._begin_until = float("inf")
-        self._stop_at = float("inf")
+        self._draining = False
+        self._refusing = False
+        self._accept_all_until = float("inf")
+        self._drain_deadline = float("inf")
 
     @property
     def open_requests(self) -> int:
-        """Requests without their whole answer yet."""
+        """Number of requests without a complete response."""
         return self._open
 
     @property
     def limits(self) -> IngressLimits:
-        """What callers may send."""
+        """Limits on callers' requests."""
         return self._table.limits if self._table else IngressLimits()
 
-    def take(self, table: RoutingTable) -> None:
-        """Act by a routing table from the next request on."""
+    def set_table(self, table: RoutingTable) -> None:
+        """Use a routing table from the next request on."""
         self._table = table
-        self._started.set()
+        self._table_received.set()
 
-    def leave(self, now: float, stop_at: float) -> None:
-        """Ask callers to go elsewhere; soon begin nothing that might not end in time.
+    def begin_drain(self, now: float, drain_deadline: float) -> None:
+        """Close connections after responses; later reject requests that may outlast it.
 
         Parameters
         ----------
-        now, stop_at : float
-            This moment, and when answers have to be whole, on the loop's clock.
+        now, drain_deadline : float
+            Current time, and when all responses have to be complete, on the loop's
+            clock.
         """
-        self._leaving = True
-        self._begin_until = now + BEGIN_FOR_S
-        self._stop_at = stop_at
+        self._draining = True
+        self._accept_all_until = now + ACCEPT_ALL_AFTER_STOP_S
+        self._drain_deadline = drain_deadline
 
-    def close(self) -> None:
-        """Refuse whatever comes from now on."""
-        self._closed = True
+    def refuse_requests(self) -> None:
+        """Reject all further requests."""
+        self._refusing = True
 
     async def wait_idle(self) -> None:
-        """Return when no request is open."""
+        """Wait until no request is open."""
         await self._idle.wait()
 
     def app(self) -> web.Application:
-        """Return the application."""
+        """Return the web application that serves callers."""
         app = web.Application(client_max_size=64 << 20)
         app.router.add_route("*", "/{path:.*}", self._handle)
         return app
@@ -113,29 +116,29 @@
     async def _handle(self, request: web.Request) -> web.StreamResponse:
         self._open += 1
         self._idle.clear()
-        self._means.metrics.gauge("open_requests", self._open)
+        self._context.metrics.set_gauge("open_requests", self._open)
         try:
-            response = await self._answer(request)
-            if self._leaving and not response.prepared:
+            response = await self._respond(request)
+            if self._draining and not response.prepared:
                 response.force_close()
             return response
         finally:
             self._open -= 1
-            self._means.metrics.gauge("open_requests", self._open)
+            self._context.metrics.set_gauge("open_requests", self._open)
             if not self._open:
                 self._idle.set()
 
-    async def _answer(self, request: web.Request) -> web.StreamResponse:
+    async def _respond(self, request: web.Request) -> web.StreamResponse:
         received = asyncio.get_running_loop().time()
-        head = self._means.dialect.read_request(request.headers)
+        head = self._context.dialect.read_request(request.headers)
         if self._table is None:
-            await _wait_in_vain(self._started.wait(), head.patience)
+            await _wait_for_startup(self._table_received.wait(), head.patience)
         try:
             route = self._find_route(request)
             customer = self._find_customer(route, head.key)
             body = await self._read_body(request)
             claim = await self._claim_quota(customer, head)
-        except _Rejected as rejected:
+        except _RequestRejected as rejected:
             return self._reject(request, head.request, rejected)
         pool = route.choose_pool()
         incoming = Incoming(
@@ -149,23 +152,25 @@
             claim,
         )
         try:
-            return await Exchange(incoming, self._means).run()
+            return await Exchange(incoming, self._context).run()
         finally:
             if claim:
                 claim.release()
 
     def _find_route(self, request: web.Request) -> ForwardRoute:
         if self._table is None:
-            raise _Rejected(503, "no configuration yet", NOT_READY_RETRY_S)
+            raise _RequestRejected(503, "no configuration yet", NOT_READY_RETRY_AFTER_S)
         host = request.headers.get("Host", "").partition(":")[0].lower()
         path = request.raw_path.partition("?")[0]
         route = self._table.route(host, path)
         if route is None:
-            raise _Rejected(404, "no route")
+            raise _RequestRejected(404, "no matching route")
         now = asyncio.get_running_loop().time()
-        too_long = now > self._begin_until and now + route.timeout > self._stop_at
-        if self._closed or too_long:
-            raise _Rejected(503, "stopping", STOPPING_RETRY_S)
+        too_long = (
+            now > self._accept_all_until and now + route.timeout > self._drain_deadline
+        )
+        if self._refusing or too_long:
+            raise _RequestRejected(503, "stopping", STOPPING_RETRY_AFTER_S)
         return route
 
     def _find_customer(self, route: ForwardRoute, key: str) -> CustomerRule | None:
@@ -173,7 +178,7 @@
             return None
         customer = self._table.customer(key)
         if customer is None:
-            raise _Rejected(401, "unknown key")
+            raise _RequestRejected(401, "unknown customer key")
         return customer
 
     async def _claim_quota(
@@ -182,51 +187,51 @@
         if customer is None:
             return None
         if customer.quota.rate and not self._quotas.informed:
-            await _wait_in_vain(self._quotas.wait_informed(), head.patience)
+            await _wait_for_startup(self._quotas.wait_informed(), head.patience)
         tokens = head.prompt_tokens + head.output_tokens
         if not head.counted:
             tokens = customer.quota.plain_tokens
         claim = QuotaClaim(self._quotas, customer, tokens, head.request)
         if not claim.fits():
-            raise _Rejected(429, "over the quota", QUOTA_RETRY_S)
+            raise _RequestRejected(429, "customer quota exceeded", QUOTA_RETRY_S)
         return claim
 
     async def _read_body(self, request: web.Request) -> bytes:
         limits = self.limits
         if (request.content_length or 0) > limits.max_body_bytes:
-            raise _Rejected(413, "body too long")
+            raise _RequestRejected(413, "request body too long")
         try:
             body = await request.read()
         except web.HTTPRequestEntityTooLarge:
-            raise _Rejected(413, "body too long") from None
+            raise _RequestRejected(413, "request body too long") from None
         except (ValueError, web.HTTPException) as cause:
-            raise _Rejected(400, f"malformed body: {cause!r}") from None
+            raise _RequestRejected(400, f"malformed body: {cause!r}") from None
         if len(body) > limits.max_body_bytes:
-            raise _Rejected(413, "body too long")
+            raise _RequestRejected(413, "request body too long")
         return body
 
-    def _reject(self, request, name: str, rejected: _Rejected) -> web.Response:
+    def _reject(self, request, name: str, rejected: _RequestRejected) -> web.Response:
         version = self._table.version if self._table else 0
-        self._means.metrics.requests.inc(
+        self._context.metrics.requests.inc(
             {"route": "", "rank": "", "status": str(rejected.status)}
         )
         decision(
             "rejected",
             request=name,
             status=rejected.status,
-            why=rejected.why,
+            why=rejected.reason,
             host=request.headers.get("Host", ""),
             path=request.path[:80],
             version=version,
         )
-        return own_answer(rejected.status, retry_after=rejected.retry_after)
+        return local_response(rejected.status, retry_after=rejected.retry_after)
 
 
-async def _wait_in_vain(event: Awaitable, patience: float | None) -> None:
-    """Wait for what an instance learns at its start, for a bounded time."""
+async def _wait_for_startup(event: Awaitable, caller_timeout: float | None) -> None:
+    """Wait for state that a starting instance still lacks, for a bounded time."""
     seconds = START_PATIENCE_S
-    if patience is not None:
-        seconds = min(seconds, patience / 2)
+    if caller_timeout is not None:
+        seconds = min(seconds, caller_timeout / 2)
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(seconds):
             await event
--- a/hibiscusstep/forwarding/connections.py
+++ b/hibiscusstep/forwarding/connections.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.connections: HTTP connections to targets, kept and reused."""
+"""hibiscusstep.forwarding.connections: pooled HTTP/1.1 connections to targets."""
 
 import asyncio
 import contextlib
@@ -15,93 +15,103 @@
 from hibiscusstep.clock import elapsed
 from hibiscusstep.errors import TargetError
 
-__all__ = ["Connection", "ConnectionPool", "Reply"]
+__all__ = ["Connection", "ConnectionPool", "TargetResponse"]
 
-# A handshake takes some milliseconds; a lost first packet is sent again after a second,
-# so another target is the better choice long before that.
+# A TCP handshake takes a few milliseconds and a lost SYN is retransmitted only after a
+# second, so another target is tried before that.
 CONNECT_TIMEOUT_S = 0.4
-# Unacknowledged bytes for so long mean that the target's machine is gone.
+# Bytes that are unacknowledged for this long mean that the target's machine is gone.
 USER_TIMEOUT_MS = 4000
-# A connection on which nothing comes is probed: one that went silent for good, without
-# a reset, ends after 4 s in the midst of an answer. Busy streams are never probed.
+# Keepalive probes end a connection that went silent without a reset, also within a
+# response, after 4 s. Streams with traffic are never probed.
 PROBE_AFTER_S = 2
 PROBE_INTERVAL_S = 1
-PROBES = 2
+MAX_PROBES = 2
 READ_LIMIT_BYTES = 1 << 16
-# Where a target names no idle time it is under a second: reuse only what is fresh.
-UNNAMED_IDLE_S = 0.4
-# Closed this long before the target would, so that a request does not cross its close.
-IDLE_MARGIN_S = 0.6
+# Idle time if the target declares none: such targets close within a second.
+DEFAULT_IDLE_S = 0.4
+# Idle connections are closed this long before the target would close them, so that no
+# request is sent to a closing connection.
+IDLE_SAFETY_MARGIN_S = 0.6
 MAX_IDLE_S = 10.0
-_INFORMATIONAL = 200
+_MIN_FINAL_STATUS = 200
 
 
 @dataclass(slots=True, eq=False)
-class Reply:
-    """The head of an answer, and its body as it comes."""
+class TargetResponse:
+    """A target's response: its head, and its body as a stream."""
 
     message: RawResponseMessage
     body: StreamReader
 
 
 class Connection(BaseProtocol):
-    """One connection; carries one request at a time.
+    """A connection that carries one request at a time.
 
     Parameters
     ----------
     loop : asyncio.AbstractEventLoop
-        Where it runs.
+        The event loop.
     peer : str
-        The target's name, for errors.
+        The target's name, for error messages.
     """
 
     def __init__(self, loop, peer: str) -> None:
         super().__init__(loop)
         self._peer = peer
-        self._replies: asyncio.Queue | None = None
+        self._responses: asyncio.Queue | None = None
         self._current: StreamReader | None = None
-        self._tainted = False
+        self._unusable = False
         self.idle_until = 0.0
 
     @property
     def usable(self) -> bool:
-        """Whether another request may be sent on it."""
-        return self.connected and not self._tainted
+        """Whether another request may be sent on this connection."""
+        return self.connected and not self._unusable
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came; bytes that nobody waits for spoil the connection."""
-        if self._replies is None:
-            self._fail(TargetError("bytes between answers", **self._where("idle")))
+        """Parse received bytes; close the connection if no request is open."""
+        if self._responses is None:
+            self._fail(
+                TargetError(
+                    "unexpected bytes between responses", **self._error_context("idle")
+                )
+            )
             return
         try:
             messages, _upgraded, _tail = self._parser.feed_data(data)
         except HttpProcessingError as cause:
-            self._fail(TargetError(f"no HTTP: {cause}", **self._where("read")))
+            self._fail(
+                TargetError(f"malformed HTTP: {cause}", **self._error_context("read"))
+            )
             return
         for message, payload in messages:
             self._current = payload
-            self._replies.put_nowait(Reply(message, payload))
+            self._responses.put_nowait(TargetResponse(message, payload))
 
     def eof_received(self) -> None:
-        """Let the transport close."""
+        """Let the transport close the connection."""
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End what is open: a clean end may complete an answer, a reset never does."""
+        """Complete or fail the response: only a clean close can complete one."""
         super().connection_lost(exc)
-        self._tainted = True
-        if self._replies is None:
+        self._unusable = True
+        if self._responses is None:
             return
         detail = "closed" if exc is None else f"{type(exc).__name__}"
-        error = TargetError(detail, **self._where("read"))
+        error = TargetError(detail, **self._error_context("read"))
         if exc is None and self._current is not None and not self._current.is_eof():
             try:
                 self._parser.feed_eof()
             except Exception as cause:
-                error = TargetError(f"cut: {cause}", **self._where("read"))
+                error = TargetError(
+                    f"connection closed within the response: {cause}",
+                    **self._error_context("read"),
+                )
         self._fail(error)
 
     def begin(self) -> None:
-        """Get ready for the answers to one request."""
+        """Prepare for the responses to one request."""
         self._parser = HttpResponseParser(
             self,
             self._loop,
@@ -111,7 +121,7 @@
             read_until_eof=True,
             auto_decompress=False,
         )
-        self._replies = asyncio.Queue()
+        self._responses = asyncio.Queue()
         self._current = None
 
     def write(self, data: bytes) -> None:
@@ -120,72 +130,72 @@
             raise TargetError("closed", step="send", peer=self._peer, sent=False)
         self.transport.write(data)
 
-    async def next_reply(self) -> Reply:
-        """Return the next answer on this connection.
+    async def next_response(self) -> TargetResponse:
+        """Return the next response on this connection.
 
         Raises
         ------
         TargetError
-            If the connection ends before.
+            If the connection is lost first.
         """
         while True:
-            reply = await self._replies.get()
-            if isinstance(reply, TargetError):
-                self._replies.put_nowait(reply)
-                raise reply
-            if reply.message.code >= _INFORMATIONAL:
-                return reply
+            response = await self._responses.get()
+            if isinstance(response, TargetError):
+                self._responses.put_nowait(response)
+                raise response
+            if response.message.code >= _MIN_FINAL_STATUS:
+                return response
 
     def finish(self) -> None:
-        """End a request whose answer was read whole; extra bytes spoil it."""
-        extra = not self._replies.empty() or self._holds_part_of_another()
-        self._replies = None
+        """End a request with a complete response; close if more bytes arrived."""
+        extra = not self._responses.empty() or self._has_partial_response()
+        self._responses = None
         self._current = None
         if extra:
             self.abort()
 
-    def _holds_part_of_another(self) -> bool:
-        """Whether the parser has begun with another answer; it is not used again."""
+    def _has_partial_response(self) -> bool:
+        """Whether the parser holds part of another response; consumes the parser."""
         try:
             return self._parser.feed_eof() is not None
         except Exception:
             return True
 
-    def lose(self, why: str) -> None:
-        """Close at once, and tell whoever waits for an answer that it is lost."""
-        self._fail(TargetError(why, **self._where("read")))
+    def fail(self, reason: str) -> None:
+        """Close at once and fail the pending response."""
+        self._fail(TargetError(reason, **self._error_context("read")))
 
     def abort(self) -> None:
         """Close at once."""
-        self._tainted = True
+        self._unusable = True
         if self.transport is not None:
             self.transport.abort()
 
     def _fail(self, error: TargetError) -> None:
-        self._tainted = True
+        self._unusable = True
         current = self._current
         if current is not None and current is not EMPTY_PAYLOAD:
             if not current.is_eof() and current.exception() is None:
                 current.set_exception(error)
-        if self._replies is not None:
-            self._replies.put_nowait(error)
+        if self._responses is not None:
+            self._responses.put_nowait(error)
         if self.transport is not None:
             self.transport.abort()
 
-    def _where(self, step: str) -> dict:
+    def _error_context(self, step: str) -> dict:
         return {"step": step, "peer": self._peer, "sent": True}
 
 
 class ConnectionPool:
-    """Connections by target: the idle ones, to be reused, and those in use.
+    """Idle and used connections by target.
 
-    How long one was idle counts while the machine is suspended too: its target closes
-    it meanwhile.
+    The idle time includes time in which the machine was suspended, since the target
+    closes an idle connection meanwhile.
 
     Attributes
     ----------
     opened : int
-        Connections made so far.
+        Number of connection attempts so far.
     """
 
     def __init__(self) -> None:
@@ -199,30 +209,31 @@
         Raises
         ------
         TargetError
-            If none can be made; nothing was sent.
+            If no connection can be made; nothing was sent.
         """
         loop = asyncio.get_running_loop()
-        connection = self._take_idle(name)
+        connection = self._pop_idle(name)
         if connection is None:
             connection = await self._connect(loop, name, address)
         self._in_use[name].add(connection)
         return connection
 
     async def is_refused(self, name: str, address: str) -> bool:
-        """Whether nothing listens at a target's address; else a connection is kept.
+        """Probe whether a target's address refuses connections.
 
-        False also where it can't be told, as behind a cut.
+        A successful connection is kept as idle. Returns False if the result is unknown,
+        for example in a network partition.
         """
         loop = asyncio.get_running_loop()
         try:
             connection = await self._connect(loop, name, address)
         except TargetError as error:
             return error.refused
-        connection.idle_until = elapsed() + UNNAMED_IDLE_S
+        connection.idle_until = elapsed() + DEFAULT_IDLE_S
         self._idle[name].append(connection)
         return False
 
-    def _take_idle(self, name: str) -> Connection | None:
+    def _pop_idle(self, name: str) -> Connection | None:
         idle = self._idle[name]
         while idle:
             connection = idle.pop()
@@ -239,35 +250,35 @@
         name : str
             The target.
         connection : Connection
-            Its answer has been read whole.
+            A connection whose response has been read completely.
         idle_timeout : float
-            Seconds for which the target keeps it; 0 if it did not say.
+            Seconds for which the target keeps it idle; 0 if not declared.
         """
         connection.finish()
         self._in_use[name].discard(connection)
         if not connection.usable:
             return
-        span = idle_timeout - IDLE_MARGIN_S if idle_timeout else UNNAMED_IDLE_S
+        span = idle_timeout - IDLE_SAFETY_MARGIN_S if idle_timeout else DEFAULT_IDLE_S
         connection.idle_until = elapsed() + min(MAX_IDLE_S, max(span, 0.0))
         self._idle[name].append(connection)
 
-    def forget(self, name: str) -> None:
-        """Close the idle connections to a target that is gone."""
+    def close_idle(self, name: str) -> None:
+        """Close the idle connections to a target."""
         for connection in self._idle.pop(name, ()):
             connection.abort()
 
-    def end_all(self, name: str) -> None:
-        """Close all connections to an incarnation of a target that is over.
+    def close_all(self, name: str) -> None:
+        """Close all connections to an incarnation of a target that has ended.
 
-        What was asked there is lost. A connection that died behind a cut, with no
-        reset, would show that only when it was probed, up to four seconds later.
+        Its open requests are lost. In a network partition there is no reset, and the
+        keepalive probes would detect the loss only up to four seconds later.
         """
-        self.forget(name)
+        self.close_idle(name)
         for connection in self._in_use.pop(name, ()):
-            connection.lose("the target started again")
+            connection.fail("the target was restarted")
 
     def sweep(self) -> None:
-        """Close the connections that have been idle for too long."""
+        """Close the connections whose idle time is over."""
         now = elapsed()
         for name, idle in list(self._idle.items()):
             kept = []
@@ -285,7 +296,7 @@
     def close(self) -> None:
         """Close all idle connections."""
         for name in list(self._idle):
-            self.forget(name)
+            self.close_idle(name)
 
     async def _connect(self, loop, name: str, address: str) -> Connection:
         host, _, port = address.rpartition(":")
@@ -302,18 +313,18 @@
                 detail, step="connect", peer=name, sent=False, refused=refused
             ) from None
         sock = connection.transport.get_extra_info("socket")
-        _find_silence(sock)
+        _enable_keepalive(sock)
         return connection
 
 
-def _find_silence(sock) -> None:
-    """Let the system end a connection whose other side is not heard any more."""
+def _enable_keepalive(sock) -> None:
+    """Enable TCP timeouts that end a connection whose peer no longer responds."""
     with contextlib.suppress(OSError, AttributeError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         for option, value in (
             (socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
             (socket.TCP_KEEPIDLE, PROBE_AFTER_S),
             (socket.TCP_KEEPINTVL, PROBE_INTERVAL_S),
-            (socket.TCP_KEEPCNT, PROBES),
+            (socket.TCP_KEEPCNT, MAX_PROBES),
         ):
             sock.setsockopt(socket.IPPROTO_TCP, option, value)
--- a/hibiscusstep/forwarding/events.py
+++ b/hibiscusstep/forwarding/events.py
@@ -1,40 +1,42 @@
-"""hibiscusstep.forwarding.events: an event stream cut into whole events."""
+"""hibiscusstep.forwarding.events: splits a byte stream into server-sent events."""
 
 __all__ = ["EventSplitter"]
 
-_ENDS = (b"\n\n", b"\r\n\r\n")
+_EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 
 
 class EventSplitter:
-    """Holds back the last event until it is whole, and knows its id.
+    """Extracts complete events from a stream and tracks the id of the last one.
 
     Attributes
     ----------
     last_id : str
-        Id of the last whole event, "" if none had one.
+        Id of the last complete event with an id, "" if there is none.
     count : int
-        Whole events so far.
+        Number of complete events so far.
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
         self.last_id = ""
         self.count = 0
 
     @property
-    def rest(self) -> bytes:
-        """The bytes behind the last whole event."""
-        return self._rest
+    def remainder(self) -> bytes:
+        """The bytes after the last complete event."""
+        return self._remainder
 
-    def drop_rest(self) -> None:
-        """Forget the part of an event that was cut off."""
-        self._rest = b""
+    def drop_remainder(self) -> None:
+        """Discard an incomplete event."""
+        self._remainder = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that the stream holds now and did not before."""
-        data = self._rest + data
-        end = max(_end_of_last(data, mark) for mark in _ENDS)
-        whole, self._rest = data[:end], data[end:]
+        """Add data and return the events that it completes."""
+        data = self._remainder + data
+        end = max(
+            _end_of_last_event(data, terminator) for terminator in _EVENT_TERMINATORS
+        )
+        whole, self._remainder = data[:end], data[end:]
         for line in whole.splitlines():
             if line.startswith(b"id:"):
                 self.last_id = line[3:].strip().decode("latin-1")
@@ -43,6 +45,6 @@
         return whole
 
 
-def _end_of_last(data: bytes, mark: bytes) -> int:
-    found = data.rfind(mark)
-    return found + len(mark) if found >= 0 else 0
+def _end_of_last_event(data: bytes, terminator: bytes) -> int:
+    position = data.rfind(terminator)
+    return position + len(terminator) if position >= 0 else 0
--- a/hibiscusstep/forwarding/exchange.py
+++ b/hibiscusstep/forwarding/exchange.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.exchange: one request, from its grant to its whole answer."""
+"""hibiscusstep.forwarding.exchange: forwards one request to targets."""
 
 import asyncio
 import enum
@@ -7,177 +7,183 @@
 
 from hibiscusstep.dispatching import TargetLoad
 from hibiscusstep.errors import TargetError
-from hibiscusstep.forwarding.connections import Connection, Reply
+from hibiscusstep.forwarding.connections import Connection, TargetResponse
 from hibiscusstep.forwarding.dialect import AnswerHead, Order
 from hibiscusstep.forwarding.events import EventSplitter
-from hibiscusstep.forwarding.incoming import Incoming, Means
+from hibiscusstep.forwarding.incoming import ForwardingContext, Incoming
 from hibiscusstep.forwarding.model import (
     DiscoveredTarget,
     Repeat,
 )
-from hibiscusstep.forwarding.own_answer import own_answer
-from hibiscusstep.forwarding.pace import Pace
-from hibiscusstep.forwarding.placement import Placement, Refusal
+from hibiscusstep.forwarding.own_answer import local_response
+from hibiscusstep.forwarding.pace import StreamTiming
+from hibiscusstep.forwarding.placement import GrantClient, Refusal
 from hibiscusstep.forwarding.standing import Standing
 from hibiscusstep.log import decision
 from hibiscusstep.routing import messages as m
 
 __all__ = ["Exchange"]
 
-MAX_WHOLE_BYTES = 16 << 20
-# An answer that has not begun after this many times its objective will not come: a
-# target that hangs is left for another one where the request may be repeated.
-HANG_FACTOR = 2.0
-MIN_HANG_S = 1.0
-# No event for so long in the midst of a stream: its target is gone.
-STREAM_GAP_S = 2.0
-REPEATABLE_STATUS = 500
-DEADLINE_STATUS = 504
-# Another target, or the same one a moment later, may take what some did not.
-NOT_TAKEN_RETRY_S = 0.2
-# Targets that are tried without being reached, beside the attempts.
-MAX_UNREACHED = 4
+MAX_BODY_BYTES = 16 << 20
+# A target that has sent nothing after this many times the route's objective is taken to
+# hang. Another target is tried if the request may be retried.
+SILENCE_FACTOR = 2.0
+MIN_SILENCE_TIMEOUT_S = 1.0
+# A target that sends no event for this long within a stream is taken to be lost.
+STREAM_SILENCE_TIMEOUT_S = 2.0
+MIN_SERVER_ERROR_STATUS = 500
+GATEWAY_TIMEOUT_STATUS = 504
+# Retry-After where every tried target rejected the request; one may accept it soon.
+REJECTED_RETRY_AFTER_S = 0.2
+# An unreachable target does not count as an attempt until a request avoids more targets
+# than this.
+MAX_UNREACHABLE_TARGETS = 4
 
 
-class _Next(enum.Enum):
-    """What an attempt that gave no whole answer leaves open."""
+class _AttemptFailure(enum.Enum):
+    """How an attempt failed to return a complete response."""
 
-    UNSENT = "the target could not be reached"
-    NOT_RUN = "the target did not run it"
-    BROKEN = "it may have run"
-    FAILED = "the target answered with a failure"
+    NOT_SENT = "the target could not be reached"
+    NOT_RUN = "the target did not run the request"
+    BROKEN = "the request may have run"
+    FAILED = "the target responded with a server error"
 
 
-class _Spoilt(Exception):
-    """The target's bytes are not the answer to this request."""
+class _InvalidResponse(Exception):
+    """The target sent something other than a valid response to this request."""
 
 
-class _CallerLeft(Exception):
+class _CallerDisconnected(Exception):
     """The caller's connection is closed."""
 
 
 class Exchange:
-    """Brings one request to its answer or to an honest failure.
+    """Forwards one request until it has a complete response or has failed.
 
     Parameters
     ----------
     incoming : Incoming
         The request.
-    means : Means
-        What it uses.
+    context : ForwardingContext
+        Services shared by all exchanges.
     """
 
-    def __init__(self, incoming: Incoming, means: Means) -> None:
-        self._in = incoming
-        self._means = means
+    def __init__(self, incoming: Incoming, context: ForwardingContext) -> None:
+        self._incoming = incoming
+        self._context = context
         self._attempts = 0
         self._may_have_run = False
         self._splitter = EventSplitter()
         self._splitter.last_id = incoming.head.last_event
         self._response: web.StreamResponse | None = None
-        self._kept: web.Response | None = None
-        self._pace = Pace(incoming.received)
-        self._answer: AnswerHead | None = None
-        self._standing = Standing(incoming, means.quarantine)
-        self._placement = Placement(incoming, means, self._standing)
+        self._last_failure_response: web.Response | None = None
+        self._timing = StreamTiming(incoming.received)
+        self._response_head: AnswerHead | None = None
+        self._standing = Standing(incoming, context.quarantine)
+        self._grants = GrantClient(incoming, context, self._standing)
 
     async def run(self) -> web.StreamResponse:
-        """Return the response, sent or to be sent."""
+        """Return the response; a stream's has been sent already."""
         try:
-            response = await self._run_in_time()
+            response = await self._run_with_deadline()
         except asyncio.CancelledError:
-            self._log_end(499, "caller left")
+            self._log_failure(499, "caller disconnected")
             raise
-        self._count(response.status)
+        self._record_metrics(response.status)
         return response
 
-    async def _run_in_time(self) -> web.StreamResponse:
+    async def _run_with_deadline(self) -> web.StreamResponse:
         try:
-            async with asyncio.timeout_at(self._in.deadline):
+            async with asyncio.timeout_at(self._incoming.deadline):
                 return await self._run()
         except TimeoutError:
             return self._fail(504, "timeout")
 
-    def _count(self, status: int) -> None:
-        metrics, route = self._means.metrics, {"route": self._in.route.name}
-        labels = {**route, "rank": str(self._in.rank), "status": str(status)}
+    def _record_metrics(self, status: int) -> None:
+        metrics, route = self._context.metrics, {"route": self._incoming.route.name}
+        labels = {**route, "rank": str(self._incoming.rank), "status": str(status)}
         metrics.requests.inc(labels)
         if self._attempts:
-            first = self._pace.first_event or self._now() - self._in.received
+            first = self._timing.first_event or self._now() - self._incoming.received
             metrics.first_event.observe(route, first)
-            metrics.pause.observe(route, self._pace.longest_pause)
+            metrics.stream_pause.observe(route, self._timing.longest_pause)
 
     async def _run(self) -> web.StreamResponse:
-        means, pool = self._means, self._in.pool
-        means.retries.first_try(pool, self._now())
+        context, pool = self._context, self._incoming.pool
+        context.retries.first_try(pool, self._now())
         while True:
-            target = await self._placement.find_target(repeats=self._attempts > 0)
+            target = await self._grants.acquire_target(is_retry=self._attempts > 0)
             if isinstance(target, Refusal):
-                return self._refused(target)
+                return self._refuse(target)
             self._attempts += 1
-            self._pace.begin_attempt()
-            left = await self._attempt(target)
-            if left is None:
+            self._timing.begin_attempt()
+            failure = await self._attempt(target)
+            if failure is None:
                 return self._response
-            tried = self._placement.avoid(target)
-            if left is _Next.UNSENT and tried <= MAX_UNREACHED:
+            avoided = self._grants.avoid(target)
+            if (
+                failure is _AttemptFailure.NOT_SENT
+                and avoided <= MAX_UNREACHABLE_TARGETS
+            ):
                 self._attempts -= 1
                 continue
-            if not self._may_repeat(left):
-                return self._give_up(left)
+            if not self._may_retry(failure):
+                return self._respond_to_failure(failure)
 
-    async def _attempt(self, target: DiscoveredTarget) -> _Next | None:
-        """Send the request to a target; None once the answer has been passed on."""
+    async def _attempt(self, target: DiscoveredTarget) -> _AttemptFailure | None:
+        """Send the request to a target; return None if a response was relayed."""
         connection = None
-        self._answer = None
+        self._response_head = None
         outcome = m.Outcome.CANCELLED
         started = self._now()
         cause = ""
-        may_have_run_before = self._may_have_run
+        may_have_run_earlier = self._may_have_run
         try:
-            connection = await self._means.connections.acquire(
+            connection = await self._context.connections.acquire(
                 target.name, target.address
             )
-            reply, answer = await self._send(connection, target)
-            left = await self._take(connection, reply, answer, target)
-            outcome = _OUTCOMES[left]
-            if left is None and _is_failure(reply.message.code):
+            target_response, response_head = await self._send(connection, target)
+            failure = await self._relay_response(
+                connection, target_response, response_head, target
+            )
+            outcome = _OUTCOMES[failure]
+            if failure is None and _is_target_failure(target_response.message.code):
                 outcome = m.Outcome.FAILED
-            elif left is None:
+            elif failure is None:
                 self._standing.answered()
-            if left is _Next.NOT_RUN:
-                self._may_have_run = may_have_run_before
-                if answer.misdirected:
+            if failure is _AttemptFailure.NOT_RUN:
+                self._may_have_run = may_have_run_earlier
+                if response_head.misdirected:
                     outcome = m.Outcome.LEAVING
-            return left
+            return failure
         except TargetError as error:
             cause = str(error)
             if not error.sent:
                 outcome = m.Outcome.UNREACHABLE
-                return _Next.UNSENT
+                return _AttemptFailure.NOT_SENT
             outcome = m.Outcome.BROKEN
             self._standing.broke(
-                target, self._placement.granted_at, not self._pace.events
+                target, self._grants.granted_at, not self._timing.events
             )
-            return _Next.BROKEN
-        except (_Spoilt, TimeoutError) as error:
-            if self._now() >= self._in.deadline:
+            return _AttemptFailure.BROKEN
+        except (_InvalidResponse, TimeoutError) as error:
+            if self._now() >= self._incoming.deadline:
                 raise
             cause = str(error) or "hangs"
             outcome = m.Outcome.BROKEN
-            return _Next.BROKEN
-        except _CallerLeft:
-            cause = "caller left"
+            return _AttemptFailure.BROKEN
+        except _CallerDisconnected:
+            cause = "caller disconnected"
             self._response = self._response or web.Response(status=499)
             return None
         finally:
-            if connection is not None and outcome not in _READ_WHOLE:
+            if connection is not None and outcome not in _CONNECTION_RELEASED:
                 connection.abort()
-            self._placement.end(outcome, self._pace, self._attempts == 1)
-            self._note_attempt(target, outcome, cause, started)
+            self._grants.release_grant(outcome, self._timing, self._attempts == 1)
+            self._record_attempt(target, outcome, cause, started)
 
-    def _note_attempt(self, target, outcome: m.Outcome, cause: str, started) -> None:
-        metrics, pool = self._means.metrics, target.pool
+    def _record_attempt(self, target, outcome: m.Outcome, cause: str, started) -> None:
+        metrics, pool = self._context.metrics, target.pool
         broken = outcome is m.Outcome.BROKEN
         version = target.version
         metrics.attempts.inc({"pool": pool, "version": version, "outcome": outcome})
@@ -185,39 +191,40 @@
             metrics.repeats.inc({"pool": pool})
         decision(
             "attempt",
-            request=self._in.head.request,
+            request=self._incoming.head.request,
             target=target.name,
             address=target.address,
             pool=pool,
-            route=self._in.route.name,
-            rank=self._in.rank,
+            route=self._incoming.route.name,
+            rank=self._incoming.rank,
             number=self._attempts,
             outcome=outcome,
             cause=cause,
             seconds=round(self._now() - started, 4),
-            waited=round(started - self._in.received, 4),
-            due_in=round(self._in.due - self._in.received, 3),
-            max_pause=self._in.route.max_pause,
+            waited=round(started - self._incoming.received, 4),
+            due_in=round(self._incoming.due - self._incoming.received, 3),
+            max_pause=self._incoming.route.max_pause,
             events=self._splitter.count,
             last_event=self._splitter.last_id,
-            first_event=round(self._pace.first_event, 4),
-            longest_pause=round(self._pace.longest_pause, 4),
-            tokens=self._in.head.prompt_tokens,
-            customer=self._in.customer.name if self._in.customer else "",
-            counted=self._in.claim.tokens if self._in.claim else 0,
+            first_event=round(self._timing.first_event, 4),
+            longest_pause=round(self._timing.longest_pause, 4),
+            tokens=self._incoming.head.prompt_tokens,
+            customer=self._incoming.customer.name if self._incoming.customer else "",
+            counted=self._incoming.claim.tokens if self._incoming.claim else 0,
             target_revision=target.revision,
             version=target.version,
             fingerprint=self._standing.fingerprint if broken else "",
-            says_it_leaves=self._answer is not None and self._answer.leaving,
-            stay_away=self._answer.stay_away if self._answer else 0.0,
+            says_it_leaves=self._response_head is not None
+            and self._response_head.leaving,
+            stay_away=self._response_head.stay_away if self._response_head else 0.0,
             routine=outcome is m.Outcome.DONE,
         )
 
     async def _send(
         self, connection: Connection, target: DiscoveredTarget
-    ) -> tuple[Reply, AnswerHead]:
-        """Send the request and return the head of its own answer."""
-        incoming, dialect = self._in, self._means.dialect
+    ) -> tuple[TargetResponse, AnswerHead]:
+        """Send the request and return the response to it, with its parsed head."""
+        incoming, dialect = self._incoming, self._context.dialect
         customer = incoming.customer.name if incoming.customer else ""
         order = Order(
             target.id,
@@ -229,201 +236,239 @@
         if incoming.claim:
             incoming.claim.use()
         connection.begin()
-        connection.write(_serialize(incoming, fields))
+        connection.write(_serialize_request(incoming, fields))
         self._may_have_run = True
-        async with asyncio.timeout(self._hang_limit()):
+        async with asyncio.timeout(self._silence_timeout()):
             while True:
-                reply = await connection.next_reply()
-                answer = dialect.read_answer(reply.message.code, reply.message.headers)
-                if answer.leaving and not target.leaving:
-                    self._means.on_leaving(target)
-                if answer.request == incoming.head.request:
-                    self._answer = answer
-                    self._report(target, answer)
-                    if answer.stay_away:
-                        self._means.rests.rest(
-                            target.name, answer.stay_away, self._now()
+                target_response = await connection.next_response()
+                response_head = dialect.read_answer(
+                    target_response.message.code, target_response.message.headers
+                )
+                if response_head.leaving and not target.leaving:
+                    self._context.on_leaving(target)
+                if response_head.request == incoming.head.request:
+                    self._response_head = response_head
+                    self._report_load(target, response_head)
+                    if response_head.stay_away:
+                        self._context.rests.rest(
+                            target.name, response_head.stay_away, self._now()
                         )
-                    return reply, answer
-                # The answer to an earlier request on this connection.
-                await self._drain(reply)
+                    return target_response, response_head
+                # A late response to an earlier request on this connection is discarded.
+                await self._drain(target_response)
 
-    async def _take(
+    async def _relay_response(
         self,
         connection: Connection,
-        reply: Reply,
-        answer: AnswerHead,
+        target_response: TargetResponse,
+        response_head: AnswerHead,
         target: DiscoveredTarget,
-    ) -> _Next | None:
-        status = reply.message.code
-        if answer.not_run:
-            await self._drain(reply)
-            return _Next.NOT_RUN
-        if status < 300 and (not answer.sealed or answer.encoded):
-            raise _Spoilt("no answer of the target")
-        if self._in.route.streaming and status < 300:
-            await self._relay_events(reply)
+    ) -> _AttemptFailure | None:
+        status = target_response.message.code
+        if response_head.not_run:
+            await self._drain(target_response)
+            return _AttemptFailure.NOT_RUN
+        if status < 300 and (not response_head.sealed or response_head.encoded):
+            raise _InvalidResponse(
+                "response without the target's seal, or with an encoded body"
+            )
+        if self._incoming.route.streaming and status < 300:
+            await self._relay_events(target_response)
         else:
-            body = await self._read_whole(reply)
-            if status >= REPEATABLE_STATUS and self._in.route.repeat is Repeat.WHOLE:
-                self._keep(connection, reply, answer, target)
-                self._kept = self._whole(reply, body)
-                return _Next.FAILED
+            body = await self._read_body(target_response)
+            if (
+                status >= MIN_SERVER_ERROR_STATUS
+                and self._incoming.route.repeat is Repeat.WHOLE
+            ):
+                self._release_connection(
+                    connection, target_response, response_head, target
+                )
+                self._last_failure_response = self._build_response(
+                    target_response, body
+                )
+                return _AttemptFailure.FAILED
             if self._response is not None:
-                raise _Spoilt("a failure in the midst of a stream")
-            self._response = self._whole(reply, body)
-        self._keep(connection, reply, answer, target)
+                raise _InvalidResponse(
+                    "error status after part of a stream was relayed"
+                )
+            self._response = self._build_response(target_response, body)
+        self._release_connection(connection, target_response, response_head, target)
         return None
 
-    def _keep(self, connection, reply, answer, target) -> None:
-        if reply.message.should_close or answer.leaving:
+    def _release_connection(
+        self, connection, target_response, response_head, target
+    ) -> None:
+        if target_response.message.should_close or response_head.leaving:
             connection.abort()
         else:
-            self._means.connections.release(
-                target.name, connection, answer.idle_timeout
+            self._context.connections.release(
+                target.name, connection, response_head.idle_timeout
             )
 
-    async def _drain(self, reply: Reply) -> None:
-        while not reply.body.at_eof():
-            await reply.body.readany()
+    async def _drain(self, target_response: TargetResponse) -> None:
+        while not target_response.body.at_eof():
+            await target_response.body.readany()
 
-    async def _read_whole(self, reply: Reply) -> bytes:
+    async def _read_body(self, target_response: TargetResponse) -> bytes:
         parts = []
         size = 0
         while True:
-            async with asyncio.timeout(self._hang_limit()):
-                part = await reply.body.readany()
-            if not part and reply.body.at_eof():
+            async with asyncio.timeout(self._silence_timeout()):
+                part = await target_response.body.readany()
+            if not part and target_response.body.at_eof():
                 return b"".join(parts)
             parts.append(part)
             size += len(part)
-            if size > MAX_WHOLE_BYTES:
-                raise _Spoilt("too long")
-
-    def _whole(self, reply: Reply, body: bytes) -> web.Response:
-        response = web.Response(status=reply.message.code, body=body)
-        self._copy_fields(reply, response)
+            if size > MAX_BODY_BYTES:
+                raise _InvalidResponse("response body too long")
+
+    def _build_response(
+        self, target_response: TargetResponse, body: bytes
+    ) -> web.Response:
+        response = web.Response(status=target_response.message.code, body=body)
+        self._copy_fields(target_response, response)
         return response
 
-    async def _relay_events(self, reply: Reply) -> None:
-        """Pass whole events on as they come."""
+    async def _relay_events(self, target_response: TargetResponse) -> None:
+        """Relay each event to the caller once it is complete."""
         splitter = self._splitter
-        limit = self._hang_limit()
+        limit = self._silence_timeout()
         while True:
             async with asyncio.timeout(limit):
-                data = await reply.body.readany()
-            if not data and reply.body.at_eof():
+                data = await target_response.body.readany()
+            if not data and target_response.body.at_eof():
                 break
             before = splitter.count
             whole = splitter.feed(data)
             if whole:
-                await self._pass_on(reply, whole)
+                await self._write_to_caller(target_response, whole)
             if splitter.count > before:
-                self._note_events(splitter.count - before)
-                limit = STREAM_GAP_S if self._repeatable else None
-        await self._pass_on(reply, splitter.rest)
-        splitter.drop_rest()
-        await self._to_caller(self._response.write_eof())
-
-    def _note_events(self, count: int) -> None:
-        """Measure the pace; tell the dispatcher when the prompt has been read."""
-        if self._pace.note(count, self._now()):
-            self._placement.begun()
-
-    async def _pass_on(self, reply: Reply, data: bytes) -> None:
+                self._record_events(splitter.count - before)
+                limit = STREAM_SILENCE_TIMEOUT_S if self._can_retry else None
+        await self._write_to_caller(target_response, splitter.remainder)
+        splitter.drop_remainder()
+        await self._await_caller(self._response.write_eof())
+
+    def _record_events(self, count: int) -> None:
+        """Record the time of events; report an attempt's first to the dispatcher."""
+        if self._timing.record(count, self._now()):
+            self._grants.report_first_event()
+
+    async def _write_to_caller(
+        self, target_response: TargetResponse, data: bytes
+    ) -> None:
         if self._response is None:
-            response = web.StreamResponse(status=reply.message.code)
-            self._copy_fields(reply, response)
+            response = web.StreamResponse(status=target_response.message.code)
+            self._copy_fields(target_response, response)
             self._response = response
-            await self._to_caller(response.prepare(self._in.request))
+            await self._await_caller(response.prepare(self._incoming.request))
         if data:
-            await self._to_caller(self._response.write(data))
+            await self._await_caller(self._response.write(data))
 
-    async def _to_caller(self, sending) -> None:
+    async def _await_caller(self, sending) -> None:
         try:
             await sending
         except ConnectionError:
-            raise _CallerLeft from None
-
-    def _copy_fields(self, reply: Reply, response: web.StreamResponse) -> None:
-        for name, value in self._means.dialect.answer_fields(reply.message.raw_headers):
+            raise _CallerDisconnected from None
+
+    def _copy_fields(
+        self, target_response: TargetResponse, response: web.StreamResponse
+    ) -> None:
+        for name, value in self._context.dialect.answer_fields(
+            target_response.message.raw_headers
+        ):
             if name.lower() == "content-type":
                 response.headers[name] = value
             else:
                 response.headers.add(name, value)
 
     @property
-    def _repeatable(self) -> bool:
-        route = self._in.route
+    def _can_retry(self) -> bool:
+        route = self._incoming.route
         return (
             route.repeat is not Repeat.NEVER
             and self._attempts < route.max_attempts
-            and self._means.retries.left(self._in.pool, self._now()) >= 1
+            and self._context.retries.left(self._incoming.pool, self._now()) >= 1
         )
 
-    def _hang_limit(self) -> float | None:
-        """Return the seconds to wait for a sign of life where others may be tried."""
-        if not self._repeatable:
+    def _silence_timeout(self) -> float | None:
+        """Return the seconds to wait for a target's data; None if no retry is left."""
+        if not self._can_retry:
             return None
-        return max(MIN_HANG_S, HANG_FACTOR * self._in.route.objective)
+        return max(
+            MIN_SILENCE_TIMEOUT_S, SILENCE_FACTOR * self._incoming.route.objective
+        )
 
-    def _may_repeat(self, left: _Next) -> bool:
-        route = self._in.route
+    def _may_retry(self, failure: _AttemptFailure) -> bool:
+        route = self._incoming.route
         if self._attempts >= route.max_attempts:
             return False
-        if left in (_Next.BROKEN, _Next.FAILED) and route.repeat is Repeat.NEVER:
+        if (
+            failure in (_AttemptFailure.BROKEN, _AttemptFailure.FAILED)
+            and route.repeat is Repeat.NEVER
+        ):
             return False
         if self._response is not None and route.repeat is not Repeat.RESUME:
             return False
-        if left is _Next.BROKEN and not self._standing.may_be_repeated:
+        if failure is _AttemptFailure.BROKEN and not self._standing.may_be_repeated:
             return False
-        self._splitter.drop_rest()
-        return self._means.retries.take(self._in.pool, self._now())
-
-    def _give_up(self, left: _Next) -> web.StreamResponse:
-        if left is _Next.FAILED and self._kept is not None:
-            return self._kept
-        if left in (_Next.NOT_RUN, _Next.UNSENT) and not self._may_have_run:
-            return self._refused(Refusal(NOT_TAKEN_RETRY_S, "targets took it not"))
-        return self._fail(502, "no whole answer")
+        self._splitter.drop_remainder()
+        return self._context.retries.take(self._incoming.pool, self._now())
+
+    def _respond_to_failure(self, failure: _AttemptFailure) -> web.StreamResponse:
+        if (
+            failure is _AttemptFailure.FAILED
+            and self._last_failure_response is not None
+        ):
+            return self._last_failure_response
+        if (
+            failure in (_AttemptFailure.NOT_RUN, _AttemptFailure.NOT_SENT)
+            and not self._may_have_run
+        ):
+            return self._refuse(
+                Refusal(REJECTED_RETRY_AFTER_S, "rejected by all tried targets")
+            )
+        return self._fail(502, "no complete response from a target")
 
-    def _refused(self, refusal: Refusal) -> web.StreamResponse:
+    def _refuse(self, refusal: Refusal) -> web.StreamResponse:
         if self._may_have_run or self._response is not None:
             why = f"refused after an attempt: {refusal.reason}"
             return self._fail(502, why, refusal.problem)
-        self._log_end(refusal.status, refusal.reason)
-        return own_answer(refusal.status, refusal.problem, refusal.retry_after)
+        self._log_failure(refusal.status, refusal.reason)
+        return local_response(refusal.status, refusal.problem, refusal.retry_after)
 
     def _fail(
         self, status: int, why: str, problem: dict[str, str] | None = None
     ) -> web.StreamResponse:
-        self._log_end(status, why)
+        self._log_failure(status, why)
         if self._response is None:
-            if self._kept is not None:
-                return self._kept
-            return own_answer(status, problem)
-        transport = self._in.request.transport
+            if self._last_failure_response is not None:
+                return self._last_failure_response
+            return local_response(status, problem)
+        transport = self._incoming.request.transport
         if transport is not None:
             transport.abort()
         return self._response
 
-    def _log_end(self, status: int, why: str) -> None:
+    def _log_failure(self, status: int, why: str) -> None:
         decision(
             "given-up",
-            request=self._in.head.request,
-            pool=self._in.pool,
-            route=self._in.route.name,
-            rank=self._in.rank,
+            request=self._incoming.head.request,
+            pool=self._incoming.pool,
+            route=self._incoming.route.name,
+            rank=self._incoming.rank,
             status=status,
             why=why,
             attempts=self._attempts,
-            seconds=round(self._now() - self._in.received, 4),
+            seconds=round(self._now() - self._incoming.received, 4),
         )
 
-    def _report(self, target: DiscoveredTarget, answer: AnswerHead) -> None:
-        if answer.running >= 0:
-            report = m.LoadReport(target.name, answer.running, answer.waiting, False)
-            self._means.dispatching.tell(TargetLoad(target.pool, report))
+    def _report_load(self, target: DiscoveredTarget, response_head: AnswerHead) -> None:
+        if response_head.running >= 0:
+            report = m.LoadReport(
+                target.name, response_head.running, response_head.waiting, False
+            )
+            self._context.dispatching.tell(TargetLoad(target.pool, report))
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
@@ -431,22 +476,22 @@
 
 _OUTCOMES = {
     None: m.Outcome.DONE,
-    _Next.FAILED: m.Outcome.FAILED,
-    _Next.NOT_RUN: m.Outcome.REJECTED,
-    _Next.BROKEN: m.Outcome.BROKEN,
+    _AttemptFailure.FAILED: m.Outcome.FAILED,
+    _AttemptFailure.NOT_RUN: m.Outcome.REJECTED,
+    _AttemptFailure.BROKEN: m.Outcome.BROKEN,
 }
 
 
-# After these the connection has been given back.
-_READ_WHOLE = (m.Outcome.DONE, m.Outcome.FAILED)
+# Outcomes after which the connection has been released already.
+_CONNECTION_RELEASED = (m.Outcome.DONE, m.Outcome.FAILED)
 
 
-def _is_failure(status: int) -> bool:
-    """Whether a target answered that it failed; 504 is the caller's deadline."""
-    return status >= REPEATABLE_STATUS and status != DEADLINE_STATUS
+def _is_target_failure(status: int) -> bool:
+    """Whether a status is the target's failure; 504 means the caller's deadline."""
+    return status >= MIN_SERVER_ERROR_STATUS and status != GATEWAY_TIMEOUT_STATUS
 
 
-def _serialize(incoming: Incoming, fields) -> bytes:
+def _serialize_request(incoming: Incoming, fields) -> bytes:
     request = incoming.request
     lines = [f"{request.method} {request.raw_path} HTTP/1.1".encode("latin-1")]
     lines += [name + b": " + value for name, value in fields]
--- a/hibiscusstep/forwarding/incoming.py
+++ b/hibiscusstep/forwarding/incoming.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.incoming: an admitted request, and what serves it."""
+"""hibiscusstep.forwarding.incoming: admitted requests and shared services."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -18,34 +18,34 @@
 from hibiscusstep.forwarding.rests import TargetRests
 from hibiscusstep.forwarding.retries import WindowedRetryBudget
 
-__all__ = ["Incoming", "Means"]
+__all__ = ["ForwardingContext", "Incoming"]
 
-# Ranks of routes within one rank of customers.
-RANKS_A_CUSTOMER = 16
+# Number of route ranks within one customer rank.
+ROUTE_RANKS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class Incoming:
-    """A caller's request, read whole and admitted.
+    """A caller's request, completely read and admitted.
 
     Parameters
     ----------
     request : aiohttp.web.Request
-        Of the library.
+        The request in aiohttp's form.
     head : RequestHead
-        What its fields say.
+        Parsed header fields.
     body : bytes
-        Its body.
+        Request body.
     route : ForwardRoute
-        Where it goes.
+        The matching route.
     pool : str
-        The pool that was drawn.
+        The chosen pool of the route.
     customer : CustomerRule or None
-        Whose it is; None on a public route.
+        The authenticated customer; None if the request needs no key.
     received : float
-        When its head came, in seconds on the loop's clock.
+        Time of receipt of its head, in seconds on the loop's clock.
     claim : QuotaClaim or None
-        Its tokens of the customer's quota.
+        Its claim on the customer's quota.
     """
 
     request: web.Request
@@ -59,15 +59,15 @@
 
     @property
     def due(self) -> float:
-        """When an answer is on time, on the loop's clock, if its caller came first."""
+        """Time by which a response is on time, on the loop's clock."""
         return self.received + self.route.objective
 
     @property
     def identity(self) -> int:
-        """The same for all attempts at one request, 0 if not known.
+        """Hash that is equal for all of a caller's attempts at one request, or 0.
 
-        Attempts have ids of their own; a prompt's parts and lengths tell requests
-        apart. A request without a prompt is not known again.
+        Each attempt has an id of its own, so the hash covers the prompt's parts and
+        lengths. It is 0 for a request without a prompt, which is not recognized.
         """
         head = self.head
         if not head.prompt:
@@ -78,7 +78,7 @@
         return xxhash.xxh64_intdigest("\0".join(parts).encode()) >> 1
 
     def fingerprint(self) -> int:
-        """Return what all attempts at this request share; hashes the whole body."""
+        """Return a hash of the whole request, equal for all attempts at it."""
         request = self.request
         host = request.headers.get("Host", "")
         customer = self.customer.name if self.customer else ""
@@ -86,49 +86,49 @@
 
     @property
     def rank(self) -> int:
-        """Priority: by the customer's, then by the route's."""
+        """Priority, 0 the highest: the customer's rank, then the route's."""
         customer = self.customer
         own = customer.rank if customer and customer.rank is not None else 0
-        return own * RANKS_A_CUSTOMER + min(self.route.rank, RANKS_A_CUSTOMER - 1)
+        return own * ROUTE_RANKS + min(self.route.rank, ROUTE_RANKS - 1)
 
     @property
     def deadline(self) -> float:
-        """When the whole answer is due, on the loop's clock."""
+        """Time by which the response has to be complete, on the loop's clock."""
         patience = self.head.patience
         timeout = self.route.timeout
         return self.received + (timeout if patience is None else min(patience, timeout))
 
 
 @dataclass(slots=True)
-class Means:
-    """What exchanges use.
+class ForwardingContext:
+    """Services and state shared by all exchanges of an instance.
 
     Parameters
     ----------
     instance : str
-        Own name.
+        Name of this instance.
     data_centre : str
-        Where it runs.
+        Location of this instance.
     dialect : Dialect
         Reads and writes header fields.
     desk : Desk
-        Gets grants.
+        Obtains grants from dispatchers.
     dispatching : Dispatching
-        Is told the load that targets report.
+        Receives the load that targets report.
     connections : ConnectionPool
-        To targets.
+        Connections to targets.
     retries : WindowedRetryBudget
-        Bounds repeats.
+        Limits retries.
     targets : dict of str to DiscoveredTarget
-        All known targets.
+        All known targets by name.
     metrics : ForwardingMetrics
-        What is counted.
+        Metrics of this instance.
     quarantine : Quarantine
-        Knows which requests crash their targets.
+        Records which requests crash targets.
     rests : TargetRests
-        Targets that want nothing from this instance for now.
+        Targets that asked this instance to back off.
     on_leaving : callable of DiscoveredTarget
-        Is told of a target that said in an answer that it leaves.
+        Called with a target whose response says that it is leaving.
     """
 
     instance: str
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -16,11 +16,11 @@
 from hibiscusstep.dispatching import Dispatching
 from hibiscusstep.errors import ConfigurationError
 from hibiscusstep.forwarding.beliefs import BeliefKeeper
-from hibiscusstep.forwarding.border import ForwardingBorder
+from hibiscusstep.forwarding.border import CallerFrontend
 from hibiscusstep.forwarding.bounds import Bounds
 from hibiscusstep.forwarding.catalog import Catalog, Follow, SaidLeaving, TableNews
 from hibiscusstep.forwarding.connections import ConnectionPool
-from hibiscusstep.forwarding.incoming import Means
+from hibiscusstep.forwarding.incoming import ForwardingContext
 from hibiscusstep.forwarding.kept_use import KeptUseWorker
 from hibiscusstep.forwarding.metrics import ForwardingMetrics
 from hibiscusstep.forwarding.model import DiscoveredTarget, RoutingTable
@@ -77,45 +77,46 @@
 __all__ = ["ForwardingInstance"]
 
 _LOG = logging.getLogger(__name__)
-# A dispatcher that is silent for so long is taken for paused or cut off.
-STANDBY_AFTER_S = 0.12
+# A dispatcher that is silent for this long is taken to be paused or disconnected.
+DISPATCHER_TIMEOUT_S = 0.12
 SWEEP_INTERVAL_S = 0.5
 REGISTER_RETRY_S = 1.0
-REGISTER_SPREAD_S = 2.0
+REGISTER_JITTER_S = 2.0
 METRICS_RETRY_S = 5.0
-# Between the longest idle time of callers and ours, so that ours is never the shorter.
-IDLE_MARGIN_S = 5.0
-# Between the first refusal and the end of an idle instance: what was on its way is
-# answered, and whoever comes later is told by the closed port.
-CLOSING_S = 0.1
-# An instance that has just started takes no pool to dispatch until it has its links to
-# the others; before, all of them would wait for its grants.
-SETTLE_S = 1.0
-# A follower that its relay has not made ready by then looks into the store itself.
-FOLLOWER_PATIENCE_S = 3.0
-# All targets are told to the followers again after so many sweeps: a message that a
-# broken connection lost matters for five seconds at the most.
-TELL_TARGETS_EVERY = 10
-# A stopping instance listens until callers and the balancer have noticed, and keeps
-# this long before the end of its grace free.
-LISTEN_ON_S = 4.0
-# What an order's state tells as gauges, where its pool is dispatched.
+# Added to the idle timeout of callers, so that the server's is always the longer one.
+KEEPALIVE_MARGIN_S = 5.0
+# Time for which an idle, stopping instance still answers requests that were in transit;
+# later callers find its port closed.
+FINAL_REQUESTS_S = 0.1
+# A new instance dispatches no pool until it has connected to the others; before that,
+# all of them would wait for its grants.
+ELIGIBLE_AFTER_S = 1.0
+# A follower that has not become ready through its relay by then reads the store itself.
+RELAY_TIMEOUT_S = 3.0
+# All targets are sent to the followers again at this interval, so that a message lost
+# with a broken connection has an effect for at most five seconds.
+SWEEPS_PER_TARGET_RESEND = 10
+# A stopping instance keeps listening for this long, or for half of its grace period if
+# that is shorter, so that callers and the balancer can notice.
+MAX_DRAIN_LISTEN_S = 4.0
+# Fields of a rollout's state that its dispatcher exports as gauges.
 _ROLLOUT_GAUGES = ("requests", "exposed", "may_get", "answers", "bad", "evidence")
+# Part of the grace period that is reserved for the shutdown itself.
 STOP_MARGIN_S = 0.6
 
 
 class ForwardingInstance:
-    """One instance: its tasks, how they are joined, its end.
+    """Runs the tasks of one instance, connects them and shuts them down.
 
     Parameters
     ----------
-    surroundings : Surroundings
-        What the adapter brings.
+    environment : Surroundings
+        Platform-specific parts, settings and stores.
     """
 
-    def __init__(self, surroundings: Surroundings) -> None:
-        self._around = surroundings
-        self._settings = surroundings.settings
+    def __init__(self, environment: Surroundings) -> None:
+        self._environment = environment
+        self._settings = environment.settings
         self._incarnation = secrets.token_hex(6)
         self._view = View(settled=False)
         self._table: RoutingTable | None = None
@@ -124,24 +125,24 @@
         self._targets_known = False
         self._leaving = False
         self._follows_store = True
-        self._began = asyncio.get_running_loop().time()
-        self._unregistered = asyncio.Event()
+        self._started_at = asyncio.get_running_loop().time()
+        self._registration_needed = asyncio.Event()
         self._suspended_s = 0.0
         self.started = asyncio.Event()
 
     @property
     def incarnation(self) -> str:
-        """Id of this start of the instance."""
+        """Unique id of this run of the instance."""
         return self._incarnation
 
     @property
     def ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether a balancer may send callers to this instance."""
         return self._table is not None and self._targets_known and not self._leaving
 
     @property
     def view(self) -> View:
-        """The live instances as seen here."""
+        """The live instances known here."""
         return self._view
 
     @property
@@ -151,47 +152,47 @@
 
     @property
     def targets(self) -> dict[str, DiscoveredTarget]:
-        """The known targets by name."""
+        """All known targets by name."""
         return self._targets
 
     @property
     def peer_address(self) -> str:
-        """Where the other instances connect."""
+        """Address to which other instances connect."""
         return self._settings.peer_address
 
     @property
     def metrics_address(self) -> str:
-        """Where the metrics are served."""
+        """Address at which the metrics are served."""
         return self._settings.operator_address
 
     @property
-    def border(self) -> ForwardingBorder:
-        """The border towards callers."""
-        return self._border
+    def frontend(self) -> CallerFrontend:
+        """The HTTP server for callers."""
+        return self._frontend
 
     @property
     def quarantine(self) -> Quarantine:
-        """The requests that are sent to no target."""
+        """The requests that crashed targets and are not forwarded."""
         return self._quarantine
 
     @property
     def bounds(self) -> Bounds:
-        """The bounds in force here."""
+        """Limits and times in force."""
         return self._quotas.bounds
 
-    def take_table(self, table: RoutingTable) -> None:
-        """Take a routing table that was learnt elsewhere than from the store."""
+    def apply_table(self, table: RoutingTable) -> None:
+        """Apply a routing table from a source other than the store."""
         self._catalog.tell(TableNews(table))
 
-    def stop_following(self) -> None:
-        """Hear of changes from peers only."""
+    def stop_following_store(self) -> None:
+        """Receive changes from peers only."""
         self._follows_store = False
         self._catalog.tell(Follow(False))
 
     async def run(self) -> None:
         """Run until cancelled or until an essential task fails."""
         self._make_workers()
-        self._around.on_store_restored(self._on_store_restored)
+        self._environment.on_store_restored(self._on_store_restored)
         children = [
             *(Child(worker.name, worker.run) for worker in self._workers),
             Child("sweeper", self._sweep),
@@ -212,41 +213,43 @@
             await self._supervisor.run()
         finally:
             self._connections.close()
-            await self._around.close()
+            await self._environment.close()
 
     async def drain(self, spent: float = 0.0) -> None:
-        """Send callers elsewhere, serve them on, return before the grace is over.
+        """Direct callers to other instances and finish the open requests.
+
+        Returns before the grace period ends.
 
         Parameters
         ----------
         spent : float
-            Seconds of the grace that have passed.
+            Seconds of the grace period that have passed.
         """
-        grace = self._around.bounds.stop_grace - spent
+        grace = self._environment.bounds.stop_grace - spent
         now = asyncio.get_running_loop().time()
-        decision("stop", open=self._border.open_requests, grace=grace)
+        decision("stop", open=self._frontend.open_requests, grace=grace)
         self._leaving = True
         self._membership.tell(OwnState(leaving=True))
-        self._border.leave(now, now + grace - STOP_MARGIN_S)
-        await asyncio.sleep(min(LISTEN_ON_S, grace / 2))
+        self._frontend.begin_drain(now, now + grace - STOP_MARGIN_S)
+        await asyncio.sleep(min(MAX_DRAIN_LISTEN_S, grace / 2))
         try:
             async with asyncio.timeout_at(now + grace - STOP_MARGIN_S):
-                await self._finish_callers()
+                await self._finish_requests()
         except TimeoutError:
-            decision("stop-cuts", open=self._border.open_requests)
+            decision("stop-cuts", open=self._frontend.open_requests)
 
-    async def _finish_callers(self) -> None:
-        """Serve until idle, then refuse what still comes, and wait for its answers."""
-        await self._border.wait_idle()
-        self._border.close()
+    async def _finish_requests(self) -> None:
+        """Serve until idle, then refuse new requests and wait for the open ones."""
+        await self._frontend.wait_idle()
+        self._frontend.refuse_requests()
         await self._caller_site.stop()
-        await asyncio.sleep(CLOSING_S)
-        await self._border.wait_idle()
+        await asyncio.sleep(FINAL_REQUESTS_S)
+        await self._frontend.wait_idle()
 
     def reload(self) -> None:
-        """Read the settings again; bounds apply at once, addresses at a start."""
+        """Read the settings again; apply bounds only, addresses need a restart."""
         try:
-            bounds = self._around.read_bounds()
+            bounds = self._environment.read_bounds()
         except ConfigurationError as error:
             _LOG.error("settings not reloaded", extra={"error": str(error)})
             return
@@ -255,29 +258,29 @@
         decision("reload", bounds=str(bounds))
 
     def cut(self, why: str) -> None:
-        """Take note of a second signal; answers that can end still end."""
+        """Log a second signal; open requests are still finished."""
         _LOG.warning("second signal", extra={"why": why})
 
     def _make_workers(self) -> None:
         settings, name = self._settings, self._settings.name
         address, incarnation = settings.peer_address, self._incarnation
-        bounds = self._around.bounds
-        self._links = PeerLinks(address, settings.peer_key, self._route)
+        bounds = self._environment.bounds
+        self._links = PeerLinks(address, settings.peer_key, self._deliver_message)
         self._membership = GroupedMembership(
             settings,
             incarnation,
             self._links,
-            self._around.roster,
+            self._environment.roster,
             self._on_view,
             settings.capacity,
             settings.mesh_size,
         )
         self._catalog = Catalog(
-            self._around.tables,
-            self._around.targets,
+            self._environment.tables,
+            self._environment.targets,
             self._on_table,
             self._on_targets,
-            lambda name: self._connections.end_all(name),
+            lambda name: self._connections.close_all(name),
         )
         self._spread = Spread(
             incarnation,
@@ -287,29 +290,36 @@
             self._targets,
             lambda: self._catalog.revision if self._targets_known else 0,
         )
-        self._keeper = BeliefKeeper(
-            self._around.beliefs, lambda news: self._dispatching.tell(news)
+        self._belief_keeper = BeliefKeeper(
+            self._environment.beliefs, lambda news: self._dispatching.tell(news)
         )
         self._rollouts = RolloutKeeper(
-            name, address, self._links, self._around.rollouts, self._publish_plan
+            name, address, self._links, self._environment.rollouts, self._publish_plan
         )
         self._dispatching = Dispatching(
             name,
             address,
             self._links,
-            self._route,
+            self._deliver_message,
             None,
             kind=partial(SlotDispatcher, switches=settings.switches),
             reads_reports=False,
             serves_itself=True,
-            kept=self._keeper.tell if settings.switches.kept_beliefs else None,
+            kept=self._belief_keeper.tell if settings.switches.kept_beliefs else None,
             on_rollout=self._rollouts.tell,
         )
         self._desk = Desk(
-            name, incarnation, address, self._links, self._route, STANDBY_AFTER_S
+            name,
+            incarnation,
+            address,
+            self._links,
+            self._deliver_message,
+            DISPATCHER_TIMEOUT_S,
         )
         self._kept_use = KeptUseWorker(
-            self._around.use, bounds.quota_window, lambda use: self._quotas.tell(use)
+            self._environment.use,
+            bounds.quota_window,
+            lambda use: self._quotas.tell(use),
         )
         self._quotas = QuotaKeeper(
             incarnation, address, self._links, bounds, self._kept_use
@@ -317,13 +327,13 @@
         self._metrics = ForwardingMetrics()
         self._connections = ConnectionPool()
         self._quarantine = Quarantine(
-            address, self._links, self._connections, self._around.suspects
+            address, self._links, self._connections, self._environment.suspects
         )
-        self._retries = WindowedRetryBudget(bounds, self._began)
-        self._means = Means(
+        self._retries = WindowedRetryBudget(bounds, self._started_at)
+        self._context = ForwardingContext(
             name,
             settings.data_centre,
-            self._around.dialect,
+            self._environment.dialect,
             self._desk,
             self._dispatching,
             self._connections,
@@ -334,7 +344,7 @@
             TargetRests(),
             lambda target: self._catalog.tell(SaidLeaving(target)),
         )
-        self._border = ForwardingBorder(self._means, self._quotas)
+        self._frontend = CallerFrontend(self._context, self._quotas)
         self._workers: list[Worker] = [
             self._links,
             self._membership,
@@ -345,11 +355,11 @@
             self._kept_use,
             self._quarantine,
             self._rollouts,
-            *([self._keeper] if settings.switches.kept_beliefs else []),
+            *([self._belief_keeper] if settings.switches.kept_beliefs else []),
         ]
-        self._receivers = self._make_routes()
+        self._receivers = self._map_receivers()
 
-    def _make_routes(self) -> dict[type, Worker]:
+    def _map_receivers(self) -> dict[type, Worker]:
         table = {
             self._membership: (Heartbeat, Beat, Relays),
             self._dispatching: (
@@ -375,8 +385,8 @@
         }
         return {kind: worker for worker, kinds in table.items() for kind in kinds}
 
-    def _route(self, message: Received | LinkLost) -> None:
-        """Bring a message from a peer, or between two local tasks, to its task."""
+    def _deliver_message(self, message: Received | LinkLost) -> None:
+        """Deliver a message from a peer or a local task to its worker."""
         if isinstance(message, LinkLost):
             self._desk.tell(message)
             self._membership.tell(message)
@@ -385,7 +395,7 @@
             case ConfigurationAsk():
                 self._spread.hand_table_to(message.sender)
             case ConfigurationReply(value=value):
-                self._take_handed_on(value)
+                self._apply_peer_configuration(value)
             case TargetStates() as states:
                 self._catalog.tell(to_news(states))
             case body if type(body) in self._receivers:
@@ -404,31 +414,31 @@
             self._rollouts,
         ):
             worker.tell(changed)
-        self._choose_sources()
+        self._choose_target_source()
         self._spread.take_view(changed.view)
 
-    def _choose_sources(self) -> None:
-        """Follow the store, unless a relay does it for this instance."""
+    def _choose_target_source(self) -> None:
+        """Follow the store, unless a relay does so for this instance."""
         if not self._follows_store or not self._view.settled:
             return
-        served = self._view.parent and self._view.attached
-        waits_in_vain = not self.ready and self._age() > FOLLOWER_PATIENCE_S
-        self._catalog.tell(Follow(not served or waits_in_vain))
+        has_relay = self._view.parent and self._view.attached
+        relay_timed_out = not self.ready and self._uptime() > RELAY_TIMEOUT_S
+        self._catalog.tell(Follow(not has_relay or relay_timed_out))
 
-    def _age(self) -> float:
-        return asyncio.get_running_loop().time() - self._began
+    def _uptime(self) -> float:
+        return asyncio.get_running_loop().time() - self._started_at
 
     def _on_table(self, table: RoutingTable) -> None:
         self._table = table
         self._spread.table = table
-        self._border.take(table)
+        self._frontend.set_table(table)
         self._quotas.tell(CustomersChanged(table.customers))
         self._publish_plan()
 
     def _on_targets(
         self, targets: dict[str, DiscoveredTarget], changes: list[Change]
     ) -> None:
-        unused = [
+        inactive = [
             name
             for name in self._targets
             if name not in targets or targets[name].leaving
@@ -436,88 +446,94 @@
         self._targets.clear()
         self._targets.update(targets)
         self._targets_known = True
-        for name in unused:
-            self._connections.forget(name)
+        for name in inactive:
+            self._connections.close_idle(name)
         if self._catalog.revision:
             self._rollouts.tell(TargetsChanged(tuple(targets.values())))
         self._publish_plan()
         self._spread.tell_changes(changes)
 
     def _publish_plan(self) -> None:
-        """Tell the dispatchers which targets there are."""
+        """Send the current plan to the dispatchers."""
         if self._table is None:
             return
-        plan = self._planner.make(self._table, self._targets, self._versions_of)
+        plan = self._planner.build_plan(
+            self._table, self._targets, self._planned_versions
+        )
         in_force = InForce(self._table.version, b"", plan)
         self._dispatching.tell(in_force)
         self._desk.tell(in_force)
         self._membership.tell(OwnState(version=self._table.version))
 
-    def _versions_of(self, pool: str, seen: set[str]) -> PlannedVersions:
+    def _planned_versions(
+        self, pool: str, present_versions: set[str]
+    ) -> PlannedVersions:
         book, keeper = self._rollouts.book, self._rollouts
         planned = book.planned(pool, self.bounds.exposure, keeper.lead)
-        return PlannedVersions(book.serving(pool, seen), planned)
+        return PlannedVersions(book.serving(pool, present_versions), planned)
 
-    def _take_handed_on(self, value: bytes) -> None:
+    def _apply_peer_configuration(self, value: bytes) -> None:
         try:
-            self._catalog.tell(TableNews(self._around.read_table(value)))
+            self._catalog.tell(TableNews(self._environment.read_table(value)))
         except ConfigurationError as error:
-            _LOG.error("configuration of a peer refused", extra={"error": str(error)})
+            _LOG.error(
+                "configuration from a peer rejected", extra={"error": str(error)}
+            )
 
     async def _register(self) -> None:
-        """Put this instance on the roster, again where a restore may have lost it."""
+        """Register this instance, again after each restore of the store."""
         while True:
-            self._unregistered.clear()
-            while (await self._around.register()).is_err():
+            self._registration_needed.clear()
+            while (await self._environment.register()).is_err():
                 await asyncio.sleep(REGISTER_RETRY_S)
-            await self._unregistered.wait()
-            # Hundreds of instances hear of a restore in the same moment.
-            await asyncio.sleep(random.random() * REGISTER_SPREAD_S)
+            await self._registration_needed.wait()
+            # Hundreds of instances notice a restore at the same moment.
+            await asyncio.sleep(random.random() * REGISTER_JITTER_S)
 
     def _on_store_restored(self, before: int, era: int) -> None:
-        """Have written again what this instance keeps in the store."""
+        """Write this instance's data to the store again."""
         decision("store-restored", before=before, era=era)
-        self._metrics.gauge("store_era", era)
-        self._unregistered.set()
+        self._metrics.set_gauge("store_era", era)
+        self._registration_needed.set()
         for worker in (self._quotas, self._quarantine):
             worker.tell(StoreRestored())
 
     async def _sweep(self) -> None:
         eligible = False
         suspensions = SuspensionWatch()
-        for sweeps in itertools.count(1):
+        for sweep_number in itertools.count(1):
             await asyncio.sleep(SWEEP_INTERVAL_S)
             self._connections.sweep()
-            self._note_suspension(suspensions.check())
-            self._choose_sources()
+            self._record_suspension(suspensions.check())
+            self._choose_target_source()
             self._spread.ask_for_newer_table()
-            if sweeps % TELL_TARGETS_EVERY == 0:
+            if sweep_number % SWEEPS_PER_TARGET_RESEND == 0:
                 self._spread.tell_followers_all_targets()
-            if self._age() >= SETTLE_S and not eligible and self.ready:
+            if self._uptime() >= ELIGIBLE_AFTER_S and not eligible and self.ready:
                 eligible = True
                 self._membership.tell(OwnState(ready=True))
 
-    def _note_suspension(self, seconds: float) -> None:
+    def _record_suspension(self, seconds: float) -> None:
         if seconds:
             self._suspended_s += seconds
             decision("machine-suspended", seconds=round(seconds, 3))
-            self._metrics.gauge("suspended_seconds", self._suspended_s)
+            self._metrics.set_gauge("suspended_seconds", self._suspended_s)
 
     async def _serve_readiness(self) -> None:
         app = web.Application()
-        app.router.add_get(self._around.ready_path, self._say_ready)
-        await serve(app, self._around.ready_address)
+        app.router.add_get(self._environment.ready_path, self._handle_readiness)
+        await serve(app, self._environment.ready_address)
 
-    async def _say_ready(self, request: web.Request) -> web.Response:
+    async def _handle_readiness(self, request: web.Request) -> web.Response:
         return web.Response(status=200 if self.ready else 503)
 
-    def _note_started(self, site: web.SockSite) -> None:
+    def _on_caller_site_started(self, site: web.SockSite) -> None:
         self._caller_site = site
         self.started.set()
 
     async def _serve_metrics(self) -> None:
         app = web.Application()
-        app.router.add_get("/metrics", self._render_metrics)
+        app.router.add_get("/metrics", self._handle_metrics)
         add_quarantine_routes(app, self._quarantine)
         add_rollout_routes(app, self._rollouts, lambda: self._dispatching.rollouts)
         while True:
@@ -525,50 +541,50 @@
                 await serve(app, self._settings.operator_address)
             except OSError as error:
                 # Callers are served without metrics too.
-                _LOG.error("no metrics", extra={"error": str(error)})
+                _LOG.error("metrics server failed", extra={"error": str(error)})
                 await asyncio.sleep(METRICS_RETRY_S)
 
-    async def _render_metrics(self, _request: web.Request) -> web.Response:
+    async def _handle_metrics(self, _request: web.Request) -> web.Response:
         self._refresh_gauges()
         content, headers = self._metrics.render()
         return web.Response(body=content, headers=headers)
 
     def _refresh_gauges(self) -> None:
         metrics = self._metrics
-        metrics.gauge("configuration_version", self.version)
-        metrics.gauge("members", self._view.size)
-        metrics.gauge("followers", len(self._view.followers))
-        metrics.gauge("silent_members", self._view.silent)
-        metrics.gauge("connections_opened", self._connections.opened)
-        metrics.gauge("log_lines_dropped", dropped_lines())
-        metrics.gauge("requests_suspected", self._quarantine.suspected)
-        metrics.gauge("requests_quarantined", self._quarantine.quarantined)
+        metrics.set_gauge("configuration_version", self.version)
+        metrics.set_gauge("members", self._view.size)
+        metrics.set_gauge("followers", len(self._view.followers))
+        metrics.set_gauge("silent_members", self._view.silent)
+        metrics.set_gauge("connections_opened", self._connections.opened)
+        metrics.set_gauge("log_lines_dropped", dropped_lines())
+        metrics.set_gauge("requests_suspected", self._quarantine.suspected)
+        metrics.set_gauge("requests_quarantined", self._quarantine.quarantined)
         for pool, count in self._dispatching.overdue.items():
-            metrics.gauge("slots_overdue", count, pool=pool)
+            metrics.set_gauge("slots_overdue", count, pool=pool)
         for pool, state in self._dispatching.rollouts.items():
             for name in _ROLLOUT_GAUGES:
                 labels = {"pool": pool, "version": state["version"]}
-                metrics.gauge(f"rollout_{name}", state[name], **labels)
-        left_out = self._around.targets.left_out + self._planner.left_out
-        metrics.gauge("target_entries_left_out", left_out)
-        metrics.gauge("table_age_seconds", self._catalog.age())
+                metrics.set_gauge(f"rollout_{name}", state[name], **labels)
+        left_out = self._environment.targets.left_out + self._planner.ignored_targets
+        metrics.set_gauge("target_entries_left_out", left_out)
+        metrics.set_gauge("table_age_seconds", self._catalog.age())
         states = Counter(
             (target.pool, "leaving" if target.leaving else "ready")
             for target in self._targets.values()
         )
         now = asyncio.get_running_loop().time()
         for (pool, state), count in states.items():
-            metrics.gauge("targets", count, pool=pool, state=state)
+            metrics.set_gauge("targets", count, pool=pool, state=state)
             left = self._retries.left(pool, now)
-            metrics.gauge("repeats_left", left, pool=pool)
+            metrics.set_gauge("repeats_left", left, pool=pool)
 
     async def _serve_callers(self) -> None:
-        limits = self._border.limits
+        limits = self._frontend.limits
         await serve(
-            self._border.app(),
-            self._around.caller_socket or self._settings.caller_address,
-            self._note_started,
-            keepalive_timeout=limits.idle_timeout + IDLE_MARGIN_S,
+            self._frontend.app(),
+            self._environment.caller_socket or self._settings.caller_address,
+            self._on_caller_site_started,
+            keepalive_timeout=limits.idle_timeout + KEEPALIVE_MARGIN_S,
             max_line_size=limits.max_header_bytes,
             max_field_size=limits.max_header_bytes,
             auto_decompress=False,
--- a/hibiscusstep/forwarding/metrics.py
+++ b/hibiscusstep/forwarding/metrics.py
@@ -1,34 +1,34 @@
-"""hibiscusstep.forwarding.metrics: what a forwarding instance counts."""
+"""hibiscusstep.forwarding.metrics: metrics of a forwarding instance."""
 
 from aioprometheus import Counter, Gauge, Histogram, Registry
 from aioprometheus.renderer import render
 
 __all__ = ["ForwardingMetrics"]
 
-SECONDS = (0.01, 0.03, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 15.0)
+BUCKETS_S = (0.01, 0.03, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 15.0)
 _PREFIX = "hibiscusstep_forward"
 
 
 class ForwardingMetrics:
-    """Counters, gauges and histograms.
+    """Counters, gauges and histograms of an instance.
 
-    Label values are routes, pools and outcomes; never requests,
-    customers or targets, so that the sets stay small.
+    Label values are routes, pools and outcomes, never requests, customers or targets,
+    to limit the number of time series.
 
     Attributes
     ----------
     requests : aioprometheus.Counter
         Answered requests by route, rank and status.
     attempts : aioprometheus.Counter
-        Attempts at targets by pool, version of the target and outcome.
+        Attempts by pool, the target's version and outcome.
     repeats : aioprometheus.Counter
-        Attempts beyond the first, by pool.
+        Retries by pool.
     first_event : aioprometheus.Histogram
-        Seconds from receipt to the first event or the answer, by route.
-    pause : aioprometheus.Histogram
-        The longest pause between events of an answer, by route, in seconds.
+        Seconds from receipt to the first event or the whole response, by route.
+    stream_pause : aioprometheus.Histogram
+        The longest pause between events of a response, by route, in seconds.
     queue_wait : aioprometheus.Histogram
-        Seconds until the grant, by pool.
+        Seconds of waiting for a grant, by pool.
     """
 
     def __init__(self) -> None:
@@ -37,12 +37,12 @@
         self.attempts = self._counter("attempts_total", "Attempts at targets.")
         self.repeats = self._counter("repeats_total", "Attempts beyond the first.")
         self.first_event = self._histogram("first_event_seconds", "To first event.")
-        self.pause = self._histogram("longest_pause_seconds", "Longest pause.")
+        self.stream_pause = self._histogram("longest_pause_seconds", "Longest pause.")
         self.queue_wait = self._histogram("queue_wait_seconds", "Wait for a grant.")
         self._gauges: dict[str, Gauge] = {}
 
-    def gauge(self, name: str, value: float, **labels: str) -> None:
-        """Set a gauge, made when it is first set."""
+    def set_gauge(self, name: str, value: float, **labels: str) -> None:
+        """Set a gauge, which is created on first use."""
         if name not in self._gauges:
             self._gauges[name] = Gauge(
                 f"{_PREFIX}_{name}", name.replace("_", " "), registry=self._registry
@@ -50,13 +50,13 @@
         self._gauges[name].set(labels, value)
 
     def render(self) -> tuple[bytes, dict]:
-        """Return the text form and its HTTP headers."""
+        """Return the metrics in text format and their HTTP headers."""
         return render(self._registry, [])
 
-    def _counter(self, name: str, doc: str) -> Counter:
-        return Counter(f"{_PREFIX}_{name}", doc, registry=self._registry)
+    def _counter(self, name: str, help_text: str) -> Counter:
+        return Counter(f"{_PREFIX}_{name}", help_text, registry=self._registry)
 
-    def _histogram(self, name: str, doc: str) -> Histogram:
+    def _histogram(self, name: str, help_text: str) -> Histogram:
         return Histogram(
-            f"{_PREFIX}_{name}", doc, buckets=SECONDS, registry=self._registry
+            f"{_PREFIX}_{name}", help_text, buckets=BUCKETS_S, registry=self._registry
         )
--- a/hibiscusstep/forwarding/own_answer.py
+++ b/hibiscusstep/forwarding/own_answer.py
@@ -1,33 +1,33 @@
-"""hibiscusstep.forwarding.own_answer: answers that no target gave."""
+"""hibiscusstep.forwarding.own_answer: responses that an instance creates itself."""
 
 import orjson
 from aiohttp import web
 
-__all__ = ["own_answer"]
+__all__ = ["local_response"]
 
-_PROBLEM_TYPE = "application/problem+json"
+_PROBLEM_CONTENT_TYPE = "application/problem+json"
 
 
-def own_answer(
+def local_response(
     status: int,
     problem: dict[str, str] | None = None,
     retry_after: float | None = None,
 ) -> web.Response:
-    """Return an answer of the instance's own.
+    """Return a response that comes from no target.
 
     Parameters
     ----------
     status : int
-        Of the answer.
+        HTTP status.
     problem : dict of str to str, default=None
-        Members of a problem document (RFC 9457) that tells the caller why.
+        Members of a problem document (RFC 9457) for the body.
     retry_after : float, default=None
-        Seconds after which the caller may come back.
+        Seconds for the Retry-After field.
     """
     headers = {} if retry_after is None else {"Retry-After": f"{retry_after:.2f}"}
     if problem is None:
         return web.Response(status=status, headers=headers)
     body = orjson.dumps({**problem, "status": status})
     return web.Response(
-        status=status, headers=headers, body=body, content_type=_PROBLEM_TYPE
+        status=status, headers=headers, body=body, content_type=_PROBLEM_CONTENT_TYPE
     )
--- a/hibiscusstep/forwarding/placement.py
+++ b/hibiscusstep/forwarding/placement.py
@@ -1,11 +1,11 @@
-"""hibiscusstep.forwarding.placement: finds a target for a request, or a refusal."""
+"""hibiscusstep.forwarding.placement: obtains a target for a request."""
 
 import asyncio
 from dataclasses import dataclass
 
-from hibiscusstep.forwarding.incoming import Incoming, Means
+from hibiscusstep.forwarding.incoming import ForwardingContext, Incoming
 from hibiscusstep.forwarding.model import DiscoveredTarget
-from hibiscusstep.forwarding.pace import Pace
+from hibiscusstep.forwarding.pace import StreamTiming
 from hibiscusstep.forwarding.quota_claim import QUOTA_RETRY_S
 from hibiscusstep.forwarding.standing import Standing
 from hibiscusstep.grants import Ended, Granted, GrantRequest, Refused, Started
@@ -13,30 +13,31 @@
 from hibiscusstep.peer import WorkInfo
 from hibiscusstep.routing import messages as m
 
-__all__ = ["Placement", "Refusal"]
+__all__ = ["GrantClient", "Refusal"]
 
-# A dispatcher that does not know how long a request can be in time refuses it after
-# this part of its objective; one that does not answer at all has somewhat longer.
-PATIENCE = 0.25
-# An instance that is cut off from the store hears of new targets from its peers.
+# Share of the route's objective within which the dispatcher has to grant or refuse a
+# request. Waiting for an unresponsive dispatcher takes somewhat longer.
+GRANT_WAIT_SHARE = 0.25
+# Grants of targets unknown here that a request discards before it is refused. An
+# instance without a connection to the store receives new targets from its peers, later.
 MAX_UNKNOWN_TARGETS = 3
-UNKNOWN_RETRY_S = 0.5
+UNKNOWN_TARGET_RETRY_AFTER_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a request is sent to no target now.
+    """The reason why a request is sent to no target.
 
     Parameters
     ----------
     retry_after : float
-        Seconds after which its caller may come back.
+        Seconds after which the caller may retry.
     reason : str
         For the log.
     status : int
-        Of the answer.
+        HTTP status of the response.
     problem : dict of str to str or None
-        What the caller is told beside that.
+        Members of the problem document in the response.
     """
 
     retry_after: float
@@ -45,127 +46,131 @@
     problem: dict[str, str] | None = None
 
 
-class Placement:
-    """Asks for grants for one request, and gives back what can't be used.
+class GrantClient:
+    """Requests grants for one request and returns those that cannot be used.
 
-    A grant may be older than what is known by the time it comes: of the target, of the
-    request, or of the customer's quota. So all that is checked before the send.
+    The state of the target, of the request or of the customer's quota may have changed
+    since the dispatcher decided, so all three are checked before the request is sent.
 
     Parameters
     ----------
     incoming : Incoming
         The request.
-    means : Means
-        What it uses.
+    context : ForwardingContext
+        Services shared by all exchanges.
     standing : Standing
-        Whether targets crashed under it.
+        Quarantine state of the request.
 
     Attributes
     ----------
     granted_at : float
-        When the last grant came, on the loop's clock.
+        Time of the last grant, on the loop's clock.
     """
 
-    def __init__(self, incoming: Incoming, means: Means, standing: Standing) -> None:
-        self._in = incoming
-        self._means = means
+    def __init__(
+        self, incoming: Incoming, context: ForwardingContext, standing: Standing
+    ) -> None:
+        self._incoming = incoming
+        self._context = context
         self._standing = standing
         self._avoid: list[str] = []
-        self._repeats = False
+        self._is_retry = False
         self._grant: Granted | None = None
         self.granted_at = 0.0
 
     def avoid(self, target: DiscoveredTarget) -> int:
-        """Rather have another target from now on; return how many were tried."""
+        """Prefer other targets from now on; return how many are avoided."""
         self._avoid.append(target.name)
         return len(self._avoid)
 
-    async def find_target(self, *, repeats: bool) -> DiscoveredTarget | Refusal:
-        """Return a target that was granted and may be sent to, or a refusal.
+    async def acquire_target(self, *, is_retry: bool) -> DiscoveredTarget | Refusal:
+        """Return a granted target that accepts the request, or a refusal.
 
         Parameters
         ----------
-        repeats : bool
+        is_retry : bool
             Whether the request was sent to a target before.
         """
-        self._repeats = repeats
+        self._is_retry = is_retry
         while True:
             if self._standing.is_quarantined:
-                return self._quarantined()
-            if seconds := await self._wait_for_rests():
-                return Refusal(seconds, "targets want nothing")
-            reply = await self._ask()
+                return self._quarantine_refusal()
+            if seconds := await self._wait_for_rested_target():
+                return Refusal(seconds, "all targets asked this instance to back off")
+            reply = await self._request_grant()
             if isinstance(reply, Refused):
                 return Refusal(reply.retry_after, str(reply.reason))
             if self._standing.is_quarantined:
-                # Targets crashed under other attempts while this one waited.
-                self.end(m.Outcome.UNUSED)
-                return self._quarantined()
-            target = self._means.targets.get(reply.target)
+                # Other attempts at this request crashed targets during the wait.
+                self.release_grant(m.Outcome.UNUSED)
+                return self._quarantine_refusal()
+            target = self._context.targets.get(reply.target)
             if target is None:
-                # The dispatcher knows a target that has not been heard of here yet.
-                self.end(m.Outcome.UNUSED)
+                # The dispatcher already knows a target that is not yet known here.
+                self.release_grant(m.Outcome.UNUSED)
                 self._avoid.append(reply.target)
                 if len(self._avoid) > MAX_UNKNOWN_TARGETS:
-                    return Refusal(UNKNOWN_RETRY_S, "unknown targets")
+                    return Refusal(
+                        UNKNOWN_TARGET_RETRY_AFTER_S, "granted targets not known here"
+                    )
                 continue
-            if not self._still_wants(target):
+            if not self._accepts_work(target):
                 continue
-            if self._in.claim and not self._in.claim.take():
-                self.end(m.Outcome.UNUSED)
-                return Refusal(QUOTA_RETRY_S, "over the quota", 429)
+            if self._incoming.claim and not self._incoming.claim.take():
+                self.release_grant(m.Outcome.UNUSED)
+                return Refusal(QUOTA_RETRY_S, "customer quota exceeded", 429)
             return target
 
-    def _still_wants(self, target: DiscoveredTarget) -> bool:
-        """Whether a target takes work by its own latest word; else the grant ends."""
+    def _accepts_work(self, target: DiscoveredTarget) -> bool:
+        """Whether a target accepts work by its latest state; else release the grant."""
         if target.leaving:
-            self.end(m.Outcome.LEAVING)
+            self.release_grant(m.Outcome.LEAVING)
             self._avoid.append(target.name)
             return False
-        if self._means.rests.is_resting(target.name, self._now()):
-            self.end(m.Outcome.UNUSED)
+        if self._context.rests.is_resting(target.name, self._now()):
+            self.release_grant(m.Outcome.UNUSED)
             return False
         return True
 
     @property
-    def _latest(self) -> float:
-        """When a dispatcher's answer is due, on the loop's clock."""
-        begun = self._now() if self._repeats else self._in.received
-        patience = PATIENCE * self._in.route.objective
-        return min(begun + patience, self._in.deadline)
+    def _grant_deadline(self) -> float:
+        """Time by which the dispatcher has to answer, on the loop's clock."""
+        started = self._now() if self._is_retry else self._incoming.received
+        max_wait = GRANT_WAIT_SHARE * self._incoming.route.objective
+        return min(started + max_wait, self._incoming.deadline)
 
-    async def _wait_for_rests(self) -> float:
-        """Wait where all targets of the pool want nothing from here for a moment.
+    async def _wait_for_rested_target(self) -> float:
+        """Wait while all targets of the pool have asked this instance to back off.
 
         Returns
         -------
         float
-            The seconds until one of them may be asked, where that is too long to wait;
-            else 0.
+            Seconds until one of them accepts requests, if that is after the grant's
+            deadline; else 0.
         """
-        means, now = self._means, self._now()
-        if not means.rests.resting(now):
+        context, now = self._context, self._now()
+        if not context.rests.resting(now):
             return 0.0
         names = [
             name
-            for name, target in means.targets.items()
-            if target.pool == self._in.pool and not target.leaving
+            for name, target in context.targets.items()
+            if target.pool == self._incoming.pool and not target.leaving
         ]
-        seconds = means.rests.until_any(names, now)
-        if now + seconds > self._latest:
+        seconds = context.rests.until_any(names, now)
+        if now + seconds > self._grant_deadline:
             return seconds
         await asyncio.sleep(seconds)
         return 0.0
 
-    async def _ask(self) -> Granted | Refused:
-        incoming = self._in
-        head, latest = incoming.head, self._latest
+    async def _request_grant(self) -> Granted | Refused:
+        incoming = self._incoming
+        head, grant_deadline = incoming.head, self._grant_deadline
         customer = incoming.customer.name if incoming.customer else ""
-        begun = self._now() if self._repeats else incoming.received
+        started = self._now() if self._is_retry else incoming.received
         work = WorkInfo(
             "",
             head.request,
-            self._means.instance,
+            self._context.instance,
             customer,
             str(incoming.rank),
             incoming.rank,
@@ -176,73 +181,78 @@
             False,
             [],
             list(self._avoid),
-            data_centre=self._means.data_centre,
+            data_centre=self._context.data_centre,
             identity=incoming.identity,
             suspect=self._standing.suspect,
-            resting=self._means.rests.resting(self._now()),
+            resting=self._context.rests.resting(self._now()),
             route=incoming.route.name,
         )
         wanted = GrantRequest(
             incoming.pool,
             work,
-            latest,
+            grant_deadline,
             False,
-            _never_stopped,
+            _ignore_stop,
             incoming.due,
             incoming.deadline,
         )
         try:
-            reply = await self._means.desk.ask(wanted)
+            reply = await self._context.desk.ask(wanted)
         except MailboxFull:
             reply = Refused(m.Reason.LOAD, 1.0)
         if isinstance(reply, Granted):
-            waited = self._now() - begun
-            self._means.metrics.queue_wait.observe({"pool": incoming.pool}, waited)
+            waited = self._now() - started
+            self._context.metrics.queue_wait.observe({"pool": incoming.pool}, waited)
             self._grant = reply
             self.granted_at = self._now()
         return reply
 
-    def _quarantined(self) -> Refusal:
-        """Tell the caller why, and when the request would be served again."""
+    def _quarantine_refusal(self) -> Refusal:
+        """Return a refusal with the cause and the remaining time of the quarantine."""
         standing = self._standing
         return Refusal(standing.expires_in, "quarantined", problem=standing.problem)
 
-    def begun(self) -> None:
-        """Tell the dispatcher that the first event has come."""
+    def report_first_event(self) -> None:
+        """Report the first event of the response to the dispatcher."""
         if self._grant is not None:
             seconds = self._now() - self.granted_at
-            self._means.desk.tell(Started(self._in.pool, self._grant.ask, seconds))
+            self._context.desk.tell(
+                Started(self._incoming.pool, self._grant.ask, seconds)
+            )
 
-    def end(
-        self, outcome: m.Outcome, pace: Pace | None = None, first: bool = False
+    def release_grant(
+        self,
+        outcome: m.Outcome,
+        timing: StreamTiming | None = None,
+        first: bool = False,
     ) -> None:
-        """Tell the dispatcher that the grant is over.
+        """Return the grant to the dispatcher.
 
         Parameters
         ----------
         outcome : Outcome
-            How.
-        pace : Pace or None
-            Of the answer's events; None where nothing was sent.
+            How the attempt ended.
+        timing : StreamTiming or None
+            Timing of the response's events; None if nothing was sent.
         first : bool
-            Whether all of these events are of one target.
+            Whether all of these events came from one target.
         """
         if self._grant is None:
             return
         ended = Ended(
-            self._in.pool,
+            self._incoming.pool,
             self._grant.ask,
             outcome,
-            pace.events if pace else 0,
-            pace.decode_seconds if pace else 0.0,
-            longest_pause=pace.longest_pause if pace and first else 0.0,
+            timing.events if timing else 0,
+            timing.decode_seconds if timing else 0.0,
+            longest_pause=timing.longest_pause if timing and first else 0.0,
         )
         self._grant = None
-        self._means.desk.tell(ended)
+        self._context.desk.tell(ended)
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
 
-def _never_stopped() -> None:
-    """Nothing that runs is stopped here."""
+def _ignore_stop() -> None:
+    """Ignore a request to stop: forwarded requests are never stopped."""
--- a/hibiscusstep/forwarding/planning.py
+++ b/hibiscusstep/forwarding/planning.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.planning: what dispatchers need of table and targets."""
+"""hibiscusstep.forwarding.planning: builds the dispatchers' plans."""
 
 import logging
 from collections import defaultdict
@@ -17,24 +17,24 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedVersions:
-    """Versions of a pool's targets in force, and the order to change them."""
+    """The versions of a pool's targets that may serve, and a rollout in progress."""
 
     serving: frozenset[str] = frozenset()
     rollout: PlannedRollout | None = None
 
 
 class Planner:
-    """Makes plans; a target of a pool that the table does not know has no place."""
+    """Builds plans; targets of pools that the routing table lacks are ignored."""
 
     def __init__(self) -> None:
-        self._left_out = LeftOut()
+        self._ignored = LeftOut()
 
     @property
-    def left_out(self) -> int:
-        """Targets that had no place so far, each revision once."""
-        return self._left_out.count
+    def ignored_targets(self) -> int:
+        """Number of targets ignored so far; each revision of a target counts once."""
+        return self._ignored.count
 
-    def make(
+    def build_plan(
         self,
         table: RoutingTable,
         targets: dict[str, DiscoveredTarget],
@@ -45,36 +45,37 @@
         Parameters
         ----------
         table : RoutingTable
-            In force.
+            The routing table in force.
         targets : dict of str to DiscoveredTarget
-            By name.
+            All known targets by name.
         versions : callable of str and set of str, default=None
-            Returns which versions of a pool may serve, given those of its targets.
+            Returns which versions of a pool may serve, given its name and the versions
+            of its targets.
         """
-        pools = _pools(table)
-        seen: dict[str, set[str]] = defaultdict(set)
+        pools = _pools_of(table)
+        present_versions: dict[str, set[str]] = defaultdict(set)
         for target in targets.values():
-            seen[target.pool].add(target.version)
+            present_versions[target.pool].add(target.version)
         for name in pools if versions else ():
-            planned = versions(name, seen[name])
+            planned = versions(name, present_versions[name])
             pools[name] = replace(
                 pools[name], serving=planned.serving, rollout=planned.rollout
             )
         for name, target in targets.items():
             pool = pools.get(target.pool)
             if pool is None:
-                self._leave_out(target)
+                self._ignore(target)
                 continue
             pool.targets[name] = PlannedTarget(
                 target.slots, target.leaving, target.data_centre, target.version
             )
         return Plan(pools)
 
-    def _leave_out(self, target: DiscoveredTarget) -> None:
-        if not self._left_out.is_new(target.name, target.revision):
+    def _ignore(self, target: DiscoveredTarget) -> None:
+        if not self._ignored.is_new(target.name, target.revision):
             return
         _LOG.error(
-            "target left out",
+            "target of an unknown pool ignored",
             extra={
                 "target": target.name,
                 "revision": target.revision,
@@ -83,8 +84,8 @@
         )
 
 
-def _pools(table: RoutingTable) -> dict[str, PlannedPool]:
-    """Return the pools that a table names, without targets."""
+def _pools_of(table: RoutingTable) -> dict[str, PlannedPool]:
+    """Return the pools of a routing table, without targets."""
     pauses = {
         share.pool: route.max_pause
         for route in table.routes
--- a/hibiscusstep/forwarding/serving.py
+++ b/hibiscusstep/forwarding/serving.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.serving: an application on an address, until cancelled."""
+"""hibiscusstep.forwarding.serving: runs an HTTP server until it is cancelled."""
 
 import asyncio
 import socket
@@ -10,14 +10,14 @@
 
 __all__ = ["serve"]
 
-# Handlers that are still running at the end have had their time already.
+# The drain has already given running handlers their time.
 SHUTDOWN_TIMEOUT_S = 0.2
 
 
 async def serve(
     app: web.Application,
     address: str | socket.socket,
-    started: Callable[[web.SockSite], None] | None = None,
+    on_started: Callable[[web.SockSite], None] | None = None,
     **options,
 ) -> None:
     """Serve an application until cancelled.
@@ -25,13 +25,13 @@
     Parameters
     ----------
     app : aiohttp.web.Application
-        What to serve.
+        The application.
     address : str or socket.socket
-        IP number and port, or a socket that listens.
-    started : callable or None
-        Gets the site once it listens.
+        IP address and port, or a listening socket.
+    on_started : callable or None
+        Called with the site once it listens.
     **options : object
-        Of the library's connections.
+        Further arguments of `aiohttp.web.AppRunner`.
     """
     runner = web.AppRunner(
         app,
@@ -44,8 +44,8 @@
     listener = listen(address) if isinstance(address, str) else address
     site = web.SockSite(runner, listener, backlog=BACKLOG)
     await site.start()
-    if started:
-        started(site)
+    if on_started:
+        on_started(site)
     try:
         await asyncio.Event().wait()
     finally:
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""The forwarding plane end to end: callers, instances, a store and targets."""
+"""End-to-end tests of forwarding with callers, instances, a store and targets."""
 
 import asyncio
 import contextlib
@@ -52,7 +52,7 @@
 
 
 class Site:
-    """A store, targets and instances."""
+    """Test deployment of a store, targets and instances."""
 
     def __init__(self, tmp_path, monkeypatch):
         monkeypatch.setenv("HIBISCUSSTEP_PEER_KEY", "a-key-for-tests-only")
@@ -64,7 +64,7 @@
         self._tasks = []
         self.session = None
         self.seeds = ()
-        self.store_of_the_next = ""
+        self.next_store_address = ""
 
     async def start(self, *targets, pool="pool-a", document=None):
         await self.store.start()
@@ -83,8 +83,8 @@
         module = "hibiscusstep.platform.settings.METRICS_PORT"
         self._monkeypatch.setattr(module, free_port())
         settings = _settings(f"n{len(self.instances)}", self.store)
-        if self.store_of_the_next:
-            settings["Platform"]["Address"] = self.store_of_the_next
+        if self.next_store_address:
+            settings["Platform"]["Address"] = self.next_store_address
         path = self._path / f"{settings['NodeName']}.json"
         path.write_bytes(orjson.dumps(settings))
         instance = self.make_instance(path)
@@ -96,11 +96,11 @@
         self._tasks.append(task)
         async with asyncio.timeout(BOUND_S):
             await instance.started.wait()
-            while wait and not self._serves(instance):
+            while wait and not self._is_up_to_date(instance):
                 await asyncio.sleep(0.01)
         return instance
 
-    def _serves(self, instance):
+    def _is_up_to_date(self, instance):
         return instance.ready and len(instance.targets) >= len(self.targets)
 
     def make_instance(self, path):
@@ -109,7 +109,7 @@
         return ForwardingInstance(dataclasses.replace(around, settings=settings))
 
     async def call(self, path, method="POST", instance=0, **fields):
-        """Return status, fields and body; the body is None where it was cut."""
+        """Return status, header fields and body; the body is None if truncated."""
         name = fields.pop("request", f"r{next(_ids)}")
         body = fields.pop("body", b"a body" if method == "POST" else None)
         headers = {"Host": "h.example", "X-Request-Id": name, **KEY, **fields}
@@ -124,7 +124,7 @@
                 return response.status, response.headers, None
 
     async def end_instance(self, number):
-        """End an instance's task, as its program does after the drain."""
+        """Cancel an instance's task, as its program does after the drain."""
         self._tasks[number].cancel()
         await asyncio.gather(self._tasks[number], return_exceptions=True)
 
@@ -147,12 +147,12 @@
 
 
 class TestRequestsBeforeTheFirstConfiguration:
-    """Callers connect while an instance starts; after a restart of all to all."""
+    """Callers connect while an instance starts, or while all instances restart."""
 
-    async def _begun(self, site):
-        """Return a call to an instance that has no configuration yet."""
+    async def _call_starting_instance(self, site):
+        """Start a call to an instance that has no configuration yet."""
         await site.start(TargetStandIn("t1", lambda n, f, b: [answer(f)]))
-        # Nor does it find the one that has it.
+        # Without the roster it cannot get the configuration from its peer either.
         site.store.refused |= {"config", "hibiscusstep-instances"}
         await site.add_instance(wait=False)
         assert site.instances[1].version == 0
@@ -162,33 +162,33 @@
 
     async def test_wait_for_it(self, site, monkeypatch):
         monkeypatch.setattr(border, "START_PATIENCE_S", BOUND_S)
-        call = await self._begun(site)
+        call = await self._call_starting_instance(site)
         async with asyncio.timeout(BOUND_S):
-            while not site.instances[1].border.open_requests:
+            while not site.instances[1].frontend.open_requests:
                 await asyncio.sleep(0.01)
         assert not call.done()
         site.store.refused.clear()
         assert (await call)[0] == 200
 
-    async def test_are_refused_where_it_does_not_come(self, site, monkeypatch):
+    async def test_are_refused_if_it_does_not_arrive(self, site, monkeypatch):
         monkeypatch.setattr(border, "START_PATIENCE_S", 0.05)
-        status, fields, _body = await (await self._begun(site))
+        status, fields, _body = await (await self._call_starting_instance(site))
         assert status == 503
         assert float(fields["Retry-After"]) > 0
 
 
-def _ready(instance):
-    """Return how many instances take duties, as this one sees it."""
+def _count_ready_members(instance):
+    """Return how many instances are eligible as dispatchers in an instance's view."""
     return sum(member.ready for member in instance.view.members.values())
 
 
-def _events(fields, numbers, end=True):
+def _stream_parts(fields, numbers, end=True):
     parts = [stream_head(fields), *(chunk(event(n)) for n in numbers)]
     return [*parts, chunk(b"")] if end else parts
 
 
-class TestPassingOn:
-    async def test_an_answer_comes_back_as_it_is(self, site):
+class TestForwarding:
+    async def test_a_response_is_returned_unchanged(self, site):
         await site.start(TargetStandIn("t1"))
         status, fields, body = await site.call("/once/a/../b?x=%2F&y", **{"X-Own": "1"})
         assert (status, body) == (200, b"whole")
@@ -201,7 +201,7 @@
         assert seen["x-own"] == "1"
         assert 0 < int(seen["x-request-deadline-ms"]) <= 4000
 
-    async def test_reserved_fields_and_the_key_are_not_passed_on(self, site):
+    async def test_reserved_fields_and_the_key_are_not_forwarded(self, site):
         await site.start(TargetStandIn("t1"))
         forged = {
             "X-Tenant": "other",
@@ -220,21 +220,23 @@
             "x-hold", "x-pin-ms", "x-kv-backup", "kv-from", "authorization",
         }  # fmt: skip
 
-    async def test_the_callers_patience_bounds_the_targets_time(self, site):
+    async def test_the_callers_deadline_limits_the_targets_time(self, site):
         await site.start(TargetStandIn("t1"))
         await site.call("/safe/", **{"X-Request-Deadline-Ms": "700"})
         seen = site.targets[0].requests[0][1]
         assert 0 < int(seen["x-request-deadline-ms"]) <= 700
 
-    async def test_events_come_whole_and_in_order(self, site):
-        await site.start(TargetStandIn("t1", lambda n, f, b: _events(f, range(5))))
+    async def test_events_arrive_complete_and_in_order(self, site):
+        await site.start(
+            TargetStandIn("t1", lambda n, f, b: _stream_parts(f, range(5)))
+        )
         status, fields, body = await site.call("/stream/")
         assert status == 200
         assert fields["Content-Type"] == "text/event-stream"
         assert body == b"".join(event(n) for n in range(5))
 
 
-class TestRefusing:
+class TestRejections:
     @pytest.mark.parametrize(
         ("path", "fields", "status"),
         [
@@ -250,7 +252,7 @@
         assert (await site.call(path, **fields))[0] == status
         assert not site.targets[0].requests
 
-    async def test_beyond_the_quota(self, site):
+    async def test_requests_beyond_the_quota(self, site):
         await site.start(TargetStandIn("t1"))
         fields = {"Authorization": "Bearer key-two", "X-Token-Usage": "30,20"}
         statuses = [(await site.call("/safe/", **fields))[0]]
@@ -259,7 +261,7 @@
         assert statuses[0] == 200
         assert statuses[-1] == 429
 
-    async def test_a_refusal_by_quota_tells_its_inputs(self, site, caplog):
+    async def test_a_quota_rejection_logs_its_inputs(self, site, caplog):
         caplog.set_level(logging.INFO, "hibiscusstep.decision")
         await site.start(TargetStandIn("t1"))
         fields = {"Authorization": "Bearer key-two", "X-Token-Usage": "5000,20"}
@@ -279,7 +281,7 @@
             while (await site.call("/safe/"))[0] != 401:
                 await asyncio.sleep(0.01)
 
-    async def test_no_target_is_an_honest_refusal(self, site):
+    async def test_a_pool_without_targets(self, site):
         await site.start()
         status, fields, _body = await site.call("/once/")
         assert status == 503
@@ -287,14 +289,14 @@
 
 
 class TestAtMostOnce:
-    async def test_a_lost_answer_is_no_promise_and_not_repeated(self, site):
+    async def test_a_lost_response_is_not_retried(self, site):
         targets = [TargetStandIn(f"t{n}", lambda n, f, b: ["reset"]) for n in range(2)]
         await site.start(*targets)
         status, _fields, _body = await site.call("/once/")
         assert status == 502
         assert sum(len(target.requests) for target in targets) == 1
 
-    async def test_what_a_target_did_not_run_goes_to_another(self, site):
+    async def test_a_request_that_was_not_run_goes_to_another_target(self, site):
         def shed(number, fields, body):
             return answer(fields, status=503, sealed=False, not_run=True)
 
@@ -304,7 +306,7 @@
         assert "Retry-After" in fields
         assert [len(target.requests) for target in site.targets] == [1, 1]
 
-    async def test_a_target_out_of_reach_was_not_sent_to(self, site):
+    async def test_an_unreachable_target_is_no_attempt(self, site):
         document = configuration()
         for route in document["Routes"]:
             route["MaxAttempts"] = 1
@@ -315,7 +317,7 @@
         for _ in range(6):
             assert (await site.call("/once/"))[0] == 200
 
-    async def test_another_target_at_the_address(self, site):
+    async def test_a_different_target_at_the_address(self, site):
         wrong, right = TargetStandIn("t1"), TargetStandIn("t2")
         await site.start(wrong, right)
         wrong.name = "another"
@@ -324,8 +326,8 @@
         assert not wrong.requests
 
 
-class TestRepeating:
-    async def test_a_safe_request_is_repeated_elsewhere(self, site):
+class TestRetries:
+    async def test_a_safe_request_is_retried_at_another_target(self, site):
         broken = [TargetStandIn(f"t{n}", lambda n, f, b: ["reset"]) for n in range(1)]
         await site.start(*broken, TargetStandIn("t9"))
         for _ in range(4):
@@ -338,7 +340,7 @@
         assert sum(len(target.requests) for target in targets) == 2
 
     @pytest.mark.parametrize("path", ["/safe/x", "/once/x"])
-    async def test_a_target_that_only_fails_is_left_out(self, site, path):
+    async def test_a_target_that_only_fails_is_avoided(self, site, path):
         def fail(number, fields, body):
             return answer(fields, b"failed", status=500)
 
@@ -348,7 +350,7 @@
             await site.call(path)
         assert len(bad.requests) <= 10
 
-    async def test_a_failure_is_passed_on_when_there_is_no_better_answer(self, site):
+    async def test_a_failure_is_relayed_if_all_attempts_fail(self, site):
         def fail(number, fields, body):
             return answer(fields, b"no", status=500)
 
@@ -357,13 +359,13 @@
         assert (status, body) == (500, b"no")
         assert "X-Response-Seal" in fields
 
-    async def test_a_stream_goes_on_behind_its_last_whole_event(self, site):
+    async def test_a_stream_resumes_after_its_last_complete_event(self, site):
         def cut(number, fields, body):
-            whole = _events(fields, range(3), end=False)
+            whole = _stream_parts(fields, range(3), end=False)
             return [*whole, chunk(b"id: 3\nda"), 0.3, "reset"]
 
         def rest(number, fields, body):
-            return _events(fields, range(int(fields["last-event-id"]) + 1, 6))
+            return _stream_parts(fields, range(int(fields["last-event-id"]) + 1, 6))
 
         first, second = TargetStandIn("t1", cut), TargetStandIn("t2", rest)
         await site.start(first)
@@ -379,9 +381,9 @@
         assert body == b"".join(event(n) for n in range(6))
         assert second.requests[0][1]["last-event-id"] == "2"
 
-    async def test_a_stream_that_may_not_go_on_ends_incomplete(self, site):
+    async def test_a_stream_that_may_not_resume_ends_incomplete(self, site):
         def cut(number, fields, body):
-            return [*_events(fields, range(3), end=False), 0.05, "reset"]
+            return [*_stream_parts(fields, range(3), end=False), 0.05, "reset"]
 
         await site.start(TargetStandIn("t1", cut), TargetStandIn("t2", cut))
         status, _fields, body = await site.call("/stream/")
@@ -390,9 +392,10 @@
 
 
 class TestRestartedTarget:
-    """A target that starts again under its id; its old connections stay silent.
+    """A target restarts with the same id while its old connections stay silent.
 
-    They are not reset, as behind a cut: nothing but its entry tells that it restarted.
+    As in a network partition they are not reset, so only the target's entry in the
+    store shows the restart.
     """
 
     async def _start(self, site, script):
@@ -401,16 +404,16 @@
         return first
 
     async def _restart(self, site):
-        again = TargetStandIn("t1", self._rest, born=2000)
-        await site.add_target(again)
+        restarted = TargetStandIn("t1", self._rest, born=2000)
+        await site.add_target(restarted)
         async with asyncio.timeout(BOUND_S):
             while "t1@2000" not in site.instances[0].targets:
                 await asyncio.sleep(0.005)
-        return again
+        return restarted
 
     def _rest(self, number, fields, body):
         if "last-event-id" in fields:
-            return _events(fields, range(int(fields["last-event-id"]) + 1, 6))
+            return _stream_parts(fields, range(int(fields["last-event-id"]) + 1, 6))
         return answer(fields)
 
     async def _arrived(self, target, count):
@@ -418,55 +421,55 @@
             while len(target.requests) < count:
                 await asyncio.sleep(0.005)
 
-    async def test_what_may_run_once_ends_as_after_a_crash(self, site):
+    async def test_an_at_most_once_request_fails(self, site):
         first = await self._start(site, lambda n, fields, body: ["hang"])
         task = asyncio.create_task(site.call("/once/"))
         await self._arrived(first, 1)
-        again = await self._restart(site)
+        restarted = await self._restart(site)
         status, _fields, _body = await task
         assert status == 502
-        assert not again.requests
+        assert not restarted.requests
 
-    async def test_a_stream_goes_on_at_the_new_start(self, site):
+    async def test_a_stream_resumes_at_the_new_incarnation(self, site):
         def begin(number, fields, body):
-            return [*_events(fields, range(3), end=False), "hang"]
+            return [*_stream_parts(fields, range(3), end=False), "hang"]
 
         first = await self._start(site, begin)
         task = asyncio.create_task(site.call("/resume/"))
         await self._arrived(first, 1)
-        again = await self._restart(site)
+        restarted = await self._restart(site)
         status, _fields, body = await task
         assert status == 200
         assert body == b"".join(event(n) for n in range(6))
-        assert again.requests[0][1]["x-target-instance"] == "t1"
+        assert restarted.requests[0][1]["x-target-instance"] == "t1"
 
-    async def test_its_slots_are_free_again(self, site):
+    async def test_its_slots_are_released(self, site):
         first = await self._start(site, lambda n, fields, body: ["hang"])
         hanging = [asyncio.create_task(site.call("/once/")) for _ in range(4)]
         await self._arrived(first, 4)
-        again = await self._restart(site)
+        restarted = await self._restart(site)
         statuses = [(await site.call("/once/"))[0] for _ in range(4)]
         assert statuses == [200] * 4
-        assert len(again.requests) == 4
+        assert len(restarted.requests) == 4
         assert {(await task)[0] for task in hanging} == {502}
 
-    async def test_an_instance_without_the_store_hears_of_it(self, site):
+    async def test_an_instance_without_the_store_learns_of_it(self, site):
         await self._start(site, self._rest)
         second = await site.add_instance()
         async with asyncio.timeout(BOUND_S):
             while any(len(i.view.members) < 2 for i in site.instances):
                 await asyncio.sleep(0.02)
-        second.stop_following()
-        again = await self._restart(site)
+        second.stop_following_store()
+        restarted = await self._restart(site)
         async with asyncio.timeout(BOUND_S):
             while second.targets.keys() != {"t1@2000"}:
                 await asyncio.sleep(0.02)
         assert (await site.call("/once/", instance=1))[0] == 200
-        assert len(again.requests) == 1
+        assert len(restarted.requests) == 1
 
 
-class TestEntriesOfOthers:
-    async def test_they_name_no_target_and_are_counted(self, site):
+class TestInvalidTargetEntries:
+    async def test_they_are_ignored_and_counted(self, site):
         await site.start(TargetStandIn("t1"))
         site.store.put("servers", "odd", {"Service": "pool-a", "Slots": True})
         site.store.put("servers", "far", TargetStandIn("x").entry("no-such-pool"))
@@ -482,8 +485,8 @@
         assert "hibiscusstep_forward_target_entries_left_out 3" in text
 
 
-class TestSpoiltAnswers:
-    async def test_an_answer_to_another_request_is_not_taken(self, site):
+class TestInvalidResponses:
+    async def test_a_response_to_another_request_is_discarded(self, site):
         def late(number, fields, body):
             stale = answer({"x-request-id": "somebody-elses"}, b"not yours")
             return [stale, 0.02, answer(fields, b"yours")]
@@ -493,7 +496,7 @@
             status, _fields, body = await site.call("/once/")
             assert (status, body) == (200, b"yours")
 
-    async def test_a_success_without_a_seal_is_none(self, site):
+    async def test_a_success_without_a_seal_is_rejected(self, site):
         def unsealed(number, fields, body):
             return answer(fields, sealed=False)
 
@@ -502,14 +505,14 @@
         assert status == 502
         assert "X-Response-Seal" not in fields
 
-    async def test_an_encoded_body_is_not_the_targets(self, site):
+    async def test_an_encoded_body_is_rejected(self, site):
         def encoded(number, fields, body):
             return answer(fields, extra="Content-Encoding: gzip")
 
         await site.start(TargetStandIn("t1", encoded))
         assert (await site.call("/once/"))[0] == 502
 
-    async def test_a_cut_answer_is_not_passed_on(self, site):
+    async def test_a_truncated_response_is_not_relayed(self, site):
         def cut(number, fields, body):
             return [answer(fields, b"much longer")[:-4], "close"]
 
@@ -517,7 +520,7 @@
         assert (await site.call("/once/"))[0] == 502
 
 
-class TestTimes:
+class TestTimeoutsAndShutdown:
     async def test_the_routes_timeout_ends_a_request(self, site):
         document = configuration()
         for route in document["Routes"]:
@@ -527,7 +530,7 @@
         )
         assert (await site.call("/once/"))[0] == 504
 
-    async def test_a_caller_that_leaves_takes_its_work_along(self, site):
+    async def test_a_callers_disconnect_cancels_its_request(self, site):
         target = TargetStandIn("t1", lambda n, f, b: ["hang"])
         await site.start(target)
         task = asyncio.create_task(site.call("/stream/"))
@@ -538,7 +541,7 @@
                 await task
             await target.closed.wait()
 
-    async def test_a_stopping_instance_serves_what_it_has(self, site):
+    async def test_a_stopping_instance_finishes_open_requests(self, site):
         target = TargetStandIn("t1", lambda n, f, b: [0.4, answer(f)])
         await site.start(target)
         task = asyncio.create_task(site.call("/once/"))
@@ -554,20 +557,20 @@
             assert fields["Connection"] == "close"
             await draining
 
-    async def test_a_request_that_comes_with_the_end_is_whole_or_not_begun(self, site):
+    async def test_a_request_during_shutdown_is_complete_or_not_started(self, site):
         target = TargetStandIn("t1", lambda n, f, b: [0.5, answer(f)])
         await site.start(target)
-        border = site.instances[0].border
-        wait_idle, late = border.wait_idle, []
+        frontend = site.instances[0].frontend
+        wait_idle, late = frontend.wait_idle, []
 
-        async def idle_and_then_a_request():
+        async def wait_idle_then_send_request():
             await wait_idle()
             if not late:
                 late.append(asyncio.create_task(site.call("/once/")))
                 while len(target.requests) < 2 and not late[0].done():
                     await asyncio.sleep(0.005)
 
-        border.wait_idle = idle_and_then_a_request
+        frontend.wait_idle = wait_idle_then_send_request
         await site.call("/once/")
         async with asyncio.timeout(BOUND_S):
             await site.instances[0].drain()
@@ -576,19 +579,19 @@
         refused = isinstance(ended, aiohttp.ClientConnectorError) or ended[0] == 503
         assert (refused and len(target.requests) == 1) or ended[0] == 200
 
-    async def test_an_idle_connection_is_served_until_the_end(self, site):
-        """No connection is left open that nobody reads."""
+    async def test_an_idle_connection_is_served_until_shutdown(self, site):
+        """No connection stays open without being read."""
         await site.start(TargetStandIn("t1"))
         instance = site.instances[0]
         host, _, port = instance.url.removeprefix("http://").partition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         held, reached = asyncio.Event(), asyncio.Event()
 
-        async def not_idle_yet():
+        async def wait_until_released():
             reached.set()
             await held.wait()
 
-        instance.border.wait_idle = not_idle_yet
+        instance.frontend.wait_idle = wait_until_released
         draining = asyncio.create_task(instance.drain())
         async with asyncio.timeout(BOUND_S):
             await reached.wait()
@@ -602,17 +605,17 @@
         await draining
         writer.close()
 
-    async def test_a_long_request_is_not_begun_near_the_end(self, site):
+    async def test_a_long_request_is_rejected_near_shutdown(self, site):
         await site.start(TargetStandIn("t1"))
         now = asyncio.get_running_loop().time()
-        site.instances[0].border.leave(now - 5.0, now + 1.0)
+        site.instances[0].frontend.begin_drain(now - 5.0, now + 1.0)
         status, fields, _body = await site.call("/once/")
         assert status == 503
         assert "Retry-After" in fields
 
 
 class TestMetrics:
-    async def test_what_was_answered_is_counted(self, site):
+    async def test_responses_are_counted(self, site):
         await site.start(TargetStandIn("t1"))
         await site.call("/safe/")
         await site.call("/nowhere/")
@@ -627,7 +630,7 @@
 
 
 class TestSettings:
-    async def test_bounds_are_read_again(self, site):
+    async def test_bounds_are_reloaded(self, site):
         await site.start()
         instance = site.instances[0]
         settings = orjson.loads(instance.path.read_bytes())
@@ -641,8 +644,8 @@
 
 
 class TestStart:
-    async def test_a_connection_made_before_the_instance_runs_is_answered(self, site):
-        """After a restart of all, callers connect while libraries are imported."""
+    async def test_a_connection_from_before_the_start_is_served(self, site):
+        """When all instances restart, callers connect during the imports."""
         await site.start(TargetStandIn("t1"))
         settings = orjson.loads(site.instances[0].path.read_bytes())
         settings["NodeName"] = "early"
@@ -666,17 +669,17 @@
 
 
 class TestSeveralInstances:
-    async def test_requests_through_all_share_the_slots(self, site):
-        running, most = 0, 0
+    async def test_requests_through_all_instances_share_the_slots(self, site):
+        running, max_running = 0, 0
 
         def script(number, fields, body):
             return [0.05, answer(fields)]
 
         class Counting(TargetStandIn):
             async def _reply(self, *arguments):
-                nonlocal running, most
+                nonlocal running, max_running
                 running += 1
-                most = max(most, running)
+                max_running = max(max_running, running)
                 try:
                     return await super()._reply(*arguments)
                 finally:
@@ -686,15 +689,15 @@
         for _ in range(2):
             await site.add_instance()
         async with asyncio.timeout(BOUND_S):
-            while any(_ready(i) < 3 for i in site.instances):
+            while any(_count_ready_members(i) < 3 for i in site.instances):
                 await asyncio.sleep(0.02)
         calls = [site.call("/once/", instance=n % 3) for n in range(24)]
         statuses = [status for status, _fields, _body in await asyncio.gather(*calls)]
         assert statuses.count(200) >= 16
-        assert most <= 4
+        assert max_running <= 4
 
-    async def test_a_target_unknown_to_one_stays_usable_for_the_others(self, site):
-        """A dispatcher that grants a target must not lose it by one who knows less."""
+    async def test_a_target_unknown_to_one_instance_stays_usable_for_others(self, site):
+        """An unused grant from such an instance must not disable the target."""
         await site.start(TargetStandIn("t1"))
         await site.add_instance()
         first, second = site.instances
@@ -706,14 +709,14 @@
         for _ in range(3):
             assert (await site.call("/once/", instance=0))[0] == 200
 
-    async def test_new_targets_are_told_to_those_without_the_store(self, site):
+    async def test_new_targets_reach_instances_without_the_store(self, site):
         await site.start(TargetStandIn("t1"))
         await site.add_instance()
         first, second = site.instances
         async with asyncio.timeout(BOUND_S):
             while any(len(i.view.members) < 2 for i in site.instances):
                 await asyncio.sleep(0.02)
-        second.stop_following()
+        second.stop_following_store()
         await site.add_target(TargetStandIn("t2"))
         async with asyncio.timeout(BOUND_S):
             while "t2" not in second.targets:
@@ -737,7 +740,7 @@
                 await asyncio.sleep(0.02)
 
     @pytest.mark.parametrize("mode", [Mode.REFUSE, Mode.SILENT])
-    async def test_a_restart_without_the_store_gets_all_from_its_peers(
+    async def test_a_restart_without_the_store_gets_all_state_from_peers(
         self, site, mode
     ):
         await site.start(TargetStandIn("t1"))
@@ -745,14 +748,14 @@
         await proxy.start()
         proxy.set(mode)
         peer = site.instances[0].peer_address
-        site.store_of_the_next, site.seeds = proxy.address, (peer,)
+        site.next_store_address, site.seeds = proxy.address, (peer,)
         try:
             late = await site.add_instance()
             assert late.version and late.targets.keys() == {"t1"}
         finally:
             await proxy.stop()
 
-    async def test_a_configuration_spreads_while_the_store_is_away(self, site):
+    async def test_a_configuration_spreads_without_the_store(self, site):
         await site.start(TargetStandIn("t1"))
         await site.add_instance()
         first, second = site.instances
@@ -760,7 +763,7 @@
             while len(first.view.members) < 2:
                 await asyncio.sleep(0.02)
         site.store.refused = {"config", "servers"}
-        first.take_table(table_of(configuration(9)))
+        first.apply_table(table_of(configuration(9)))
         async with asyncio.timeout(BOUND_S):
             while second.version != 9:
                 await asyncio.sleep(0.02)
--- a/tests/test_forwarding_connections.py
+++ b/tests/test_forwarding_connections.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.connections against raw targets."""
+"""Tests of hibiscusstep.forwarding.connections against raw TCP targets."""
 
 import asyncio
 import socket
@@ -19,11 +19,11 @@
     connection.begin()
     connection.write(f"GET / HTTP/1.1\r\nX-Request-Id: {request}\r\n\r\n".encode())
     async with asyncio.timeout(BOUND_S):
-        reply = await connection.next_reply()
+        response = await connection.next_response()
         body = b""
-        while not reply.body.at_eof():
-            body += await reply.body.readany()
-    return connection, reply, body
+        while not response.body.at_eof():
+            body += await response.body.readany()
+    return connection, response, body
 
 
 @pytest.fixture
@@ -35,54 +35,56 @@
 
 
 class TestReuse:
-    async def test_a_whole_answer_leaves_the_connection_for_the_next(self, target):
+    async def test_a_complete_response_leaves_the_connection_reusable(self, target):
         pool = ConnectionPool()
         for number in range(3):
-            connection, _reply, body = await _exchange(pool, target, f"r{number}")
+            connection, _response, body = await _exchange(pool, target, f"r{number}")
             assert body == b"whole"
             pool.release("t", connection, 5.0)
         assert target.connections == 1
         pool.close()
 
-    async def test_not_after_the_machine_was_suspended(self, target, monkeypatch):
-        """The loop's clock stood still; the target has closed it meanwhile."""
+    async def test_an_idle_connection_expires_while_the_machine_is_suspended(
+        self, target, monkeypatch
+    ):
+        """The loop's clock stops during a suspension; the target closes meanwhile."""
         pool = ConnectionPool()
-        connection, _reply, _body = await _exchange(pool, target)
+        connection, _response, _body = await _exchange(pool, target)
         pool.release("t", connection, 5.0)
-        woken = elapsed() + 6.0
-        monkeypatch.setattr(module, "elapsed", lambda: woken)
-        again = await pool.acquire("t", target.address)
-        assert again is not connection
+        resumed_at = elapsed() + 6.0
+        monkeypatch.setattr(module, "elapsed", lambda: resumed_at)
+        next_connection = await pool.acquire("t", target.address)
+        assert next_connection is not connection
         pool.close()
-        again.abort()
+        next_connection.abort()
 
-    async def test_bytes_behind_an_answer_end_the_connection(self, target):
+    async def test_bytes_after_a_response_close_the_connection(self, target):
         target.script = lambda n, fields, body: answer(fields) + b"HTTP/1.1 200 OK\r\n"
         pool = ConnectionPool()
-        connection, _reply, _body = await _exchange(pool, target)
+        connection, _response, _body = await _exchange(pool, target)
         await asyncio.sleep(0.05)
         pool.release("t", connection, 5.0)
-        again = await pool.acquire("t", target.address)
-        assert again is not connection
+        next_connection = await pool.acquire("t", target.address)
+        assert next_connection is not connection
         pool.close()
-        again.abort()
+        next_connection.abort()
 
-    async def test_bytes_that_come_while_idle_end_the_connection(self, target):
+    async def test_bytes_received_while_idle_close_the_connection(self, target):
         def script(number, fields, body):
             return [answer(fields), 0.05, answer(fields), "hang"]
 
         target.script = script
         pool = ConnectionPool()
-        connection, _reply, _body = await _exchange(pool, target)
+        connection, _response, _body = await _exchange(pool, target)
         pool.release("t", connection, 5.0)
         async with asyncio.timeout(BOUND_S):
             while connection.usable:
                 await asyncio.sleep(0.01)
         pool.close()
 
-    async def test_without_a_named_idle_time_only_a_fresh_one_is_reused(self, target):
+    async def test_the_default_idle_time_applies_if_none_is_declared(self, target):
         pool = ConnectionPool()
-        connection, _reply, _body = await _exchange(pool, target)
+        connection, _response, _body = await _exchange(pool, target)
         pool.release("t", connection, 0.0)
         connection.idle_until = 0.0
         pool.sweep()
@@ -90,15 +92,15 @@
         pool.close()
 
 
-class TestEnds:
-    async def test_an_unframed_answer_ends_with_a_clean_close(self, target):
+class TestConnectionEnd:
+    async def test_an_unframed_response_ends_with_a_clean_close(self, target):
         target.script = lambda n, f, b: [answer(f, b"all of it", framed=False), "close"]
         pool = ConnectionPool()
-        _connection, _reply, body = await _exchange(pool, target)
+        _connection, _response, body = await _exchange(pool, target)
         assert body == b"all of it"
         pool.close()
 
-    async def test_an_unframed_answer_that_is_reset_is_not_whole(self, target):
+    async def test_an_unframed_response_that_is_reset_is_incomplete(self, target):
         target.script = lambda n, fields, b: [
             answer(fields, b"part", framed=False),
             0.05,
@@ -109,30 +111,30 @@
             await _exchange(pool, target)
         pool.close()
 
-    async def test_a_short_framed_answer_is_not_whole(self, target):
+    async def test_a_truncated_framed_response_is_incomplete(self, target):
         target.script = lambda n, fields, b: [answer(fields, b"whole")[:-2], "close"]
         pool = ConnectionPool()
         with pytest.raises(TargetError):
             await _exchange(pool, target)
         pool.close()
 
-    async def test_bytes_that_are_no_answer(self, target):
+    async def test_malformed_http(self, target):
         target.script = lambda n, fields, b: [b"\x00\x01 nonsense\r\n\r\n", "hang"]
         pool = ConnectionPool()
         with pytest.raises(TargetError):
             await _exchange(pool, target)
         pool.close()
 
-    async def test_nobody_listens(self, target):
+    async def test_a_refused_connection(self, target):
         await target.stop()
         with pytest.raises(TargetError) as caught:
             await ConnectionPool().acquire("t", target.address)
         assert not caught.value.sent
 
 
-class TestSilence:
-    async def test_connections_are_probed_when_nothing_comes(self):
-        """Only the system can find that a silent connection is dead."""
+class TestKeepalive:
+    async def test_idle_connections_are_probed(self):
+        """Only TCP keepalive can detect that a silent connection is dead."""
         server = await asyncio.start_server(lambda _r, _w: None, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
         pool = ConnectionPool()
