--- a/hibiscusstep/routing/engine_model.py
+++ b/hibiscusstep/routing/engine_model.py
@@ -3,7 +3,7 @@
 import math
 from dataclasses import InitVar, dataclass, field
 
-__all__ = ["AnswerLengths", "EngineModel", "ReadingShare", "ServiceTimes"]
+__all__ = ["AnswerLengths", "EngineModel", "PrefillChunk", "ServiceTimes"]
 
 # First guesses, of one engine in use: seconds before a first token, prompt tokens read
 # in a second, seconds of a token while half of the slots are taken. The first two are
@@ -17,7 +17,7 @@
 PRIOR_ANSWERS = 1.0
 PRIOR_PROMPTS = (200.0, 6000.0)
 # Weight that older observations keep with each new one: half after some 140 answers.
-KEEP = 0.995
+RETENTION = 0.995
 # Bounds of what is believed, against single odd observations.
 MIN_FIRST_S, MAX_FIRST_S = 0.001, 2.0
 MIN_TOKEN_S, MAX_TOKEN_S = 1e-7, 1e-3
@@ -44,9 +44,9 @@
 
     def __post_init__(self) -> None:
         """Begin with the first guess."""
-        self.believe(self.first, self.token)
+        self.reset(self.first, self.token)
 
-    def believe(self, first: float, token: float) -> None:
+    def reset(self, first: float, token: float) -> None:
         """Begin with what others learnt."""
         self.first, self.token = first, token
         self._weight = self._x = self._xx = self._y = self._xy = 0.0
@@ -54,18 +54,18 @@
             weight = PRIOR_ANSWERS / len(PRIOR_PROMPTS)
             self._add(prompt, first + prompt * token, weight)
 
-    def prefill(self, prompt_tokens: int) -> float:
+    def prefill_seconds(self, prompt_tokens: int) -> float:
         """Return the seconds for which a prompt is read."""
         return prompt_tokens * self.token
 
-    def cost(self, prompt_tokens: int, output_tokens: float) -> float:
+    def answer_seconds(self, prompt_tokens: int, output_tokens: float) -> float:
         """Return the seconds of a whole answer."""
-        return self.first + self.prefill(prompt_tokens) + output_tokens * STEP_S
+        return self.first + self.prefill_seconds(prompt_tokens) + output_tokens * STEP_S
 
-    def learn(self, prompt_tokens: int, seconds: float) -> None:
+    def observe(self, prompt_tokens: int, seconds: float) -> None:
         """Learn from a first token, in seconds as on a target of slowness 1."""
         for name in ("_weight", "_x", "_xx", "_y", "_xy"):
-            setattr(self, name, KEEP * getattr(self, name))
+            setattr(self, name, RETENTION * getattr(self, name))
         self.learnt += 1
         self._add(prompt_tokens, seconds, 1.0)
         spread = self._weight * self._xx - self._x**2
@@ -85,11 +85,11 @@
 
 
 # Weight of a new observation of a log-normal ratio: some 20 count.
-LENGTH_LEARN = 0.05
+RATIO_LEARNING_RATE = 0.05
 
 
 @dataclass(slots=True)
-class LogNormal:
+class LogNormalRatio:
     """A ratio that is taken as log-normal, learnt.
 
     Parameters
@@ -106,12 +106,12 @@
         """Begin with the first guess."""
         self._square = spread**2
 
-    def learn(self, ratio: float) -> None:
+    def observe(self, ratio: float) -> None:
         """Learn from an observation."""
         value = math.log(ratio)
-        self._mean += LENGTH_LEARN * (value - self._mean)
-        off = (value - self._mean) ** 2
-        self._square += LENGTH_LEARN * (off - self._square)
+        self._mean += RATIO_LEARNING_RATE * (value - self._mean)
+        squared_error = (value - self._mean) ** 2
+        self._square += RATIO_LEARNING_RATE * (squared_error - self._square)
 
     def above_median(self, deviations: float) -> float:
         """Return the ratio so many standard deviations above the median."""
@@ -120,8 +120,8 @@
 
 # First guess of the spread of an answer's length against its hint, and the deviations
 # that are allowed for: four answers of five are shorter.
-FIRST_SPREAD = 0.5
-CAUTION = 0.84
+INITIAL_LENGTH_SPREAD = 0.5
+LENGTH_DEVIATIONS = 0.84
 
 
 @dataclass(slots=True)
@@ -131,54 +131,58 @@
     Callers' hints are right at the median and far off for many.
     """
 
-    _ratio: LogNormal = field(default_factory=lambda: LogNormal(FIRST_SPREAD))
+    _ratio: LogNormalRatio = field(
+        default_factory=lambda: LogNormalRatio(INITIAL_LENGTH_SPREAD)
+    )
 
-    def learn(self, expected: int, tokens: int) -> None:
+    def observe(self, expected: int, tokens: int) -> None:
         """Learn from a whole answer."""
-        self._ratio.learn(max(1, tokens) / max(1, expected))
+        self._ratio.observe(max(1, tokens) / max(1, expected))
 
-    def cautious(self, expected: int) -> float:
+    def upper_bound(self, expected: int) -> float:
         """Return a length that four answers of five keep below."""
-        return expected * self._ratio.above_median(CAUTION)
+        return expected * self._ratio.above_median(LENGTH_DEVIATIONS)
 
 
 # The same of a plain service's times against its target's mean: nine of ten are
 # shorter. Of a time that the clock does not resolve this much is believed.
-FIRST_SERVICE_SPREAD = 0.4
-SERVICE_CAUTION = 1.28
-LEAST_SERVICE_RATIO = 1e-3
+INITIAL_SERVICE_SPREAD = 0.4
+SERVICE_DEVIATIONS = 1.28
+MIN_SERVICE_RATIO = 1e-3
 
 
 @dataclass(slots=True)
 class ServiceTimes:
     """How long a plain service's requests take against the mean, learnt."""
 
-    _ratio: LogNormal = field(default_factory=lambda: LogNormal(FIRST_SERVICE_SPREAD))
+    _ratio: LogNormalRatio = field(
+        default_factory=lambda: LogNormalRatio(INITIAL_SERVICE_SPREAD)
+    )
 
-    def learn(self, ratio: float) -> None:
+    def observe(self, ratio: float) -> None:
         """Learn from a request that took so many times its target's mean."""
-        self._ratio.learn(max(LEAST_SERVICE_RATIO, ratio))
+        self._ratio.observe(max(MIN_SERVICE_RATIO, ratio))
 
     @property
-    def cautious(self) -> float:
+    def upper_ratio(self) -> float:
         """Times the mean that nine of ten requests keep below."""
-        return self._ratio.above_median(SERVICE_CAUTION)
+        return self._ratio.above_median(SERVICE_DEVIATIONS)
 
 
 # Prompts are read in parts between the tokens of other streams; until one has been
 # seen, it is taken that a prompt of any length is read between two events.
-FIRST_SHARE_S = 10.0
+UNKNOWN_CHUNK_S = 10.0
 # So much to read takes many parts, and a stream sees a whole share of it; less than
 # the second is never believed.
-MANY_PARTS_S = 0.2
-MIN_SHARE_S = 0.005
+MULTI_CHUNK_S = 0.2
+MIN_CHUNK_S = 0.005
 # Weight of a new observation, larger for a longer pause than believed: what is too long
 # for callers shall be rare.
-SHARE_LEARN_UP, SHARE_LEARN_DOWN = 0.2, 0.05
+CHUNK_INCREASE_RATE, CHUNK_DECREASE_RATE = 0.2, 0.05
 
 
 @dataclass(slots=True)
-class ReadingShare:
+class PrefillChunk:
     """Seconds of prompts read between two events of a stream, at slowness 1, learnt.
 
     However much there is to read, no more than a part of it is read at each step. With
@@ -186,13 +190,13 @@
     beyond what its route allows.
     """
 
-    most: float = FIRST_SHARE_S
+    most: float = UNKNOWN_CHUNK_S
 
-    def between_events(self, to_read: float) -> float:
+    def between_events(self, prefill_seconds: float) -> float:
         """Return the seconds of so much that are read between two events."""
-        return min(self.most, to_read)
+        return min(self.most, prefill_seconds)
 
-    def learn(self, pause: float, to_read: float) -> None:
+    def observe(self, pause: float, prefill_seconds: float) -> None:
         """Learn from the longest pause of an answer.
 
         Parameters
@@ -203,10 +207,10 @@
             The most that was to be read beside it; less than is believed to be read
             between two events tells nothing.
         """
-        if to_read < min(self.most, MANY_PARTS_S):
+        if prefill_seconds < min(self.most, MULTI_CHUNK_S):
             return
-        if self.most == FIRST_SHARE_S:
-            self.most = max(MIN_SHARE_S, pause)
+        if self.most == UNKNOWN_CHUNK_S:
+            self.most = max(MIN_CHUNK_S, pause)
             return
-        weight = SHARE_LEARN_UP if pause > self.most else SHARE_LEARN_DOWN
-        self.most = max(MIN_SHARE_S, self.most + weight * (pause - self.most))
+        weight = CHUNK_INCREASE_RATE if pause > self.most else CHUNK_DECREASE_RATE
+        self.most = max(MIN_CHUNK_S, self.most + weight * (pause - self.most))
--- a/hibiscusstep/routing/own_targets.py
+++ b/hibiscusstep/routing/own_targets.py
@@ -7,14 +7,14 @@
 
 from hibiscusstep.routing.slot_target import SlotTarget
 
-__all__ = ["OwnTargets"]
+__all__ = ["TargetSubset"]
 
 # So many at the least: where one fails or is full there are two others.
-FEWEST = 3
-_HASHES = 1 << 64
+MIN_TARGETS = 3
+_HASH_RANGE = 1 << 64
 
 
-class OwnTargets:
+class TargetSubset:
     """Chooses a few targets for one instance, so that all instances spread evenly.
 
     While nobody dispatches for all, as for some seconds after a restart of all, each
@@ -46,10 +46,10 @@
         # The least of exponential draws, each divided by a weight, falls on a target
         # as often as its weight says.
         order = sorted(targets, key=lambda t: self._draw(t.name) * t.slowness)
-        return order[: max(FEWEST, math.ceil(share * len(order)))]
+        return order[: max(MIN_TARGETS, math.ceil(share * len(order)))]
 
     def _draw(self, name: str) -> float:
         if name not in self._draws:
             digest = xxhash.xxh64_intdigest(f"{self._instance}\0{name}".encode())
-            self._draws[name] = -math.log((digest + 1) / _HASHES)
+            self._draws[name] = -math.log((digest + 1) / _HASH_RANGE)
         return self._draws[name]
--- a/hibiscusstep/routing/retries.py
+++ b/hibiscusstep/routing/retries.py
@@ -20,15 +20,15 @@
     def __init__(self, share: float, reserve: float = 10.0) -> None:
         self._share = share
         self._reserve = reserve if share else 0.0
-        self._left = self._reserve
+        self._tokens = self._reserve
 
     def first_try(self) -> None:
         """Count a request's first try."""
-        self._left = min(self._reserve, self._left + self._share)
+        self._tokens = min(self._reserve, self._tokens + self._share)
 
     def take(self) -> bool:
         """Return whether a repeat may be made, and count it."""
-        if self._left < 1.0:
+        if self._tokens < 1.0:
             return False
-        self._left -= 1.0
+        self._tokens -= 1.0
         return True
--- a/hibiscusstep/routing/run_watch.py
+++ b/hibiscusstep/routing/run_watch.py
@@ -8,24 +8,24 @@
 
 from hibiscusstep.routing.messages import Lost
 
-__all__ = ["LostRuns", "RunWatch", "Suspects"]
+__all__ = ["CheckResult", "GrantMonitor", "LostRequests"]
 
 # An instance that lives answers within some milliseconds, on a busy half of a core in
 # 0.2 s.
-ANSWER_S = 0.5
+ANSWER_TIMEOUT_S = 0.5
 # What an instance says that it still holds is asked for again after this: with the time
 # for an answer, one that is lost then holds a slot for a second more at the most.
-ASK_AGAIN_S = 0.5
+INQUIRY_INTERVAL_S = 0.5
 # Checked every 0.05 s; after a gap of so much this process was paused itself, and the
 # answers to what it asked may wait to be read.
-PAUSED_S = 0.25
+PAUSE_THRESHOLD_S = 0.25
 # An instance that was cut off for less than this may still tell that it holds what was
 # taken for lost.
-LOST_VALID_S = 6.0
+LOST_RETENTION_S = 6.0
 
 
 @dataclass(slots=True)
-class _Watched:
+class _MonitoredGrant:
     """A granted request: its instance, and when it is looked at next."""
 
     instance: str
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Suspects:
+class CheckResult:
     """What a check found.
 
     Parameters
@@ -50,7 +50,7 @@
     lost: list[str] = field(default_factory=list)
 
 
-class RunWatch:
+class GrantMonitor:
     """Tells which granted requests are overdue, and which of those are lost.
 
     An instance that loses its power tells no end, and in a large region nobody else
@@ -61,78 +61,78 @@
     """
 
     def __init__(self) -> None:
-        self._watched: dict[str, _Watched] = {}
-        self._of: dict[str, set[str]] = defaultdict(set)
-        self._next: list[tuple[float, int, str]] = []
-        self._tickets = itertools.count()
-        self._checked = 0.0
+        self._grants: dict[str, _MonitoredGrant] = {}
+        self._asks_by_instance: dict[str, set[str]] = defaultdict(set)
+        self._checks: list[tuple[float, int, str]] = []
+        self._sequence = itertools.count()
+        self._checked_at = 0.0
 
     @property
     def overdue(self) -> int:
         """How many are held past the time at which they should have ended."""
-        return sum(watched.overdue for watched in self._watched.values())
+        return sum(grant.overdue for grant in self._grants.values())
 
-    def asks_of(self, instance: str) -> set[str]:
+    def asks_of_instance(self, instance: str) -> set[str]:
         """Return the asks of the granted requests of an instance."""
-        return set(self._of.get(instance, ()))
+        return set(self._asks_by_instance.get(instance, ()))
 
-    def watch(self, ask: str, instance: str, ends: float) -> None:
+    def register(self, ask: str, instance: str, expected_end: float) -> None:
         """Take note of a grant, and when the request should have ended."""
         self.forget(ask)
-        self._watched[ask] = _Watched(instance, ends)
-        self._of[instance].add(ask)
-        self._look_at(ask, ends)
+        self._grants[ask] = _MonitoredGrant(instance, expected_end)
+        self._asks_by_instance[instance].add(ask)
+        self._schedule_check(ask, expected_end)
 
     def forget(self, ask: str) -> None:
         """Take note that a request has ended."""
-        watched = self._watched.pop(ask, None)
-        if watched is None:
+        grant = self._grants.pop(ask, None)
+        if grant is None:
             return
-        held = self._of[watched.instance]
+        held = self._asks_by_instance[grant.instance]
         held.discard(ask)
         if not held:
-            del self._of[watched.instance]
+            del self._asks_by_instance[grant.instance]
 
-    def confirm(self, asks: Iterable[str], now: float) -> None:
+    def confirm_held(self, asks: Iterable[str], now: float) -> None:
         """Take an instance's word for what it still holds."""
         for ask in asks:
-            watched = self._watched.get(ask)
-            if watched and watched.asked:
-                watched.asked = False
-                self._look_at(ask, now + ASK_AGAIN_S)
+            grant = self._grants.get(ask)
+            if grant and grant.asked:
+                grant.asked = False
+                self._schedule_check(ask, now + INQUIRY_INTERVAL_S)
 
-    def check(self, now: float) -> Suspects:
+    def check(self, now: float) -> CheckResult:
         """Return whom to ask, and what is lost; the caller forgets that."""
-        paused = now - self._checked > PAUSED_S
-        self._checked = now
+        paused = now - self._checked_at > PAUSE_THRESHOLD_S
+        self._checked_at = now
         if paused:
-            self._wait_again(now)
-        suspects = Suspects()
-        while self._next and self._next[0][0] <= now:
-            at, _ticket, ask = heapq.heappop(self._next)
-            watched = self._watched.get(ask)
-            if watched is None or watched.at != at:
+            self._extend_inquiries(now)
+        result = CheckResult()
+        while self._checks and self._checks[0][0] <= now:
+            at, _number, ask = heapq.heappop(self._checks)
+            grant = self._grants.get(ask)
+            if grant is None or grant.at != at:
                 continue
-            if watched.asked:
-                suspects.lost.append(ask)
+            if grant.asked:
+                result.lost.append(ask)
                 continue
-            watched.overdue = watched.asked = True
-            suspects.instances.add(watched.instance)
-            self._look_at(ask, now + ANSWER_S)
-        return suspects
+            grant.overdue = grant.asked = True
+            result.instances.add(grant.instance)
+            self._schedule_check(ask, now + ANSWER_TIMEOUT_S)
+        return result
 
-    def _wait_again(self, now: float) -> None:
+    def _extend_inquiries(self, now: float) -> None:
         """Give all that were asked their time once more."""
-        for ask, watched in self._watched.items():
-            if watched.asked:
-                self._look_at(ask, now + ANSWER_S)
+        for ask, grant in self._grants.items():
+            if grant.asked:
+                self._schedule_check(ask, now + ANSWER_TIMEOUT_S)
 
-    def _look_at(self, ask: str, at: float) -> None:
-        self._watched[ask].at = at
-        heapq.heappush(self._next, (at, next(self._tickets), ask))
+    def _schedule_check(self, ask: str, at: float) -> None:
+        self._grants[ask].at = at
+        heapq.heappush(self._checks, (at, next(self._sequence), ask))
 
 
-class LostRuns:
+class LostRequests:
     """What was taken for lost lately, should its instance say that it holds it."""
 
     def __init__(self) -> None:
@@ -141,7 +141,7 @@
     def add(self, lost: Lost, now: float) -> None:
         """Remember a request that was taken for lost, and forget the old ones."""
         self._lost[lost.work.ask] = now, lost
-        while next(iter(self._lost.values()))[0] < now - LOST_VALID_S:
+        while next(iter(self._lost.values()))[0] < now - LOST_RETENTION_S:
             self._lost.popitem(last=False)
 
     def forget(self, ask: str) -> None:
--- a/hibiscusstep/routing/slot_target.py
+++ b/hibiscusstep/routing/slot_target.py
@@ -7,31 +7,31 @@
 __all__ = ["Run", "SlotTarget"]
 
 # Weight of a new observation, once there are enough.
-LEARN = 0.1
+LEARNING_RATE = 0.1
 MIN_SLOWNESS, MAX_SLOWNESS = 0.1, 12.0
 # What the beginning of one answer may say: it holds a connection's time too.
-MIN_FIRST_GUESS, MAX_FIRST_GUESS = 0.5, 4.0
-FIRST_GUESS_LEARN = 0.5
+MIN_FIRST_TOKEN_RATIO, MAX_FIRST_TOKEN_RATIO = 0.5, 4.0
+FIRST_TOKEN_LEARNING_RATE = 0.5
 # Weight of the work that runs at a target against the request's own; 0.6 measured the
 # same.
 RUNNING_WEIGHT = 0.3
 # A target that cannot be reached or mostly fails rests, longer each time in a row
 # (seconds, doubled); one that is full is asked again sooner.
-FIRST_REST_S = 0.5
-REJECTED_REST_S = 0.1
-MAX_REST_S = 4.0
+INITIAL_BACKOFF_S = 0.5
+REJECTED_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 4.0
 # A target whose share of failures is above this would draw all work, since a failure
 # leaves its slot sooner than an answer: reached by four failures in a row, or by some
 # more of which a few are answers.
-MOSTLY_FAILING = 0.6
+MAX_FAILURE_SHARE = 0.6
 # Weight of a request's end in the share that fail; a target that fails always costs
 # this many times more.
-FAILURE_LEARN = 0.25
-FAILURE_COST = 3.0
+FAILURE_LEARNING_RATE = 0.25
+FAILURE_COST_FACTOR = 3.0
 # From this part of its slots on, a target is loaded.
-LOADED_PART = 0.7
+LOADED_SHARE = 0.7
 # Seconds for which the load that a target reported counts.
-FOREIGN_LOAD_VALID_S = 1.0
+EXTERNAL_LOAD_TTL_S = 1.0
 
 
 @dataclass(slots=True, eq=False)
@@ -124,29 +124,29 @@
         reading = [other for other in self.running.values() if not other.began]
         for other in reading:
             other.alone = False
-        to_read = self.prefill_left(run.granted) + run.prefill
+        to_read = self.remaining_prefill(run.granted) + run.prefill
         for other in self.running.values():
             other.beside = max(other.beside, to_read)
         run.alone = not reading
         self.running[ask] = run
-        run.loaded = len(self.running) >= LOADED_PART * self.slots
-        self._changed()
+        run.loaded = len(self.running) >= LOADED_SHARE * self.slots
+        self._invalidate()
 
     def remove(self, ask: str) -> Run | None:
         """Take note of a request's end; None if it was not here."""
         run = self.running.pop(ask, None)
-        self._changed()
+        self._invalidate()
         return run
 
-    def begin(self, ask: str) -> Run | None:
+    def mark_first_token(self, ask: str) -> Run | None:
         """Take note that a request's prompt has been read; None if it is not here."""
         run = self.running.get(ask)
         if run:
             run.began = True
-            self._changed()
+            self._invalidate()
         return run
 
-    def _changed(self) -> None:
+    def _invalidate(self) -> None:
         self._ahead = sum(run.cost for run in self.running.values())
         self._prefill_at = -1.0
 
@@ -155,17 +155,17 @@
         return not self.leaving and now >= self.rest_until
 
     @property
-    def room(self) -> int:
+    def unassigned_slots(self) -> int:
         """Slots that the requests granted to it leave."""
         # One that mostly failed is tried with one request at a time.
-        return (1 if self._fails else self.slots) - len(self.running)
+        return (1 if self._is_failing else self.slots) - len(self.running)
 
-    def free(self, now: float) -> int:
+    def available_slots(self, now: float) -> int:
         """Return how many more requests it can work on."""
-        foreign = self.foreign if now - self.foreign_at < FOREIGN_LOAD_VALID_S else 0
-        return self.room - foreign
+        foreign = self.foreign if now - self.foreign_at < EXTERNAL_LOAD_TTL_S else 0
+        return self.unassigned_slots - foreign
 
-    def prefill_left(self, now: float) -> float:
+    def remaining_prefill(self, now: float) -> float:
         """Return the guessed seconds of prompts that it has still to read.
 
         Reckoned once a moment: a dispatcher weighs many requests for a target at once.
@@ -182,59 +182,59 @@
     def cost(self, own: float) -> float:
         """Return the weighed seconds for a request of `own` guessed seconds."""
         spent = self.slowness * (own + RUNNING_WEIGHT * self._ahead)
-        return spent * (1 + FAILURE_COST * self.failing)
+        return spent * (1 + FAILURE_COST_FACTOR * self.failing)
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Take note of a whole answer."""
         self.rests = 0
-        self.failing *= 1 - FAILURE_LEARN
+        self.failing *= 1 - FAILURE_LEARNING_RATE
 
-    def guess(self, ratio: float) -> None:
+    def observe_first_token(self, ratio: float) -> None:
         """Take an answer's beginning for the speed until an answer is whole."""
-        ratio = min(MAX_FIRST_GUESS, max(MIN_FIRST_GUESS, ratio))
-        self.slowness += FIRST_GUESS_LEARN * (ratio - self.slowness)
+        ratio = min(MAX_FIRST_TOKEN_RATIO, max(MIN_FIRST_TOKEN_RATIO, ratio))
+        self.slowness += FIRST_TOKEN_LEARNING_RATE * (ratio - self.slowness)
 
-    def learn(self, ratio: float) -> None:
+    def observe(self, ratio: float) -> None:
         """Learn from seconds that work took against the guess."""
         ratio = min(MAX_SLOWNESS, max(MIN_SLOWNESS, ratio))
         self.learnt += 1
-        weight = max(LEARN, 1 / (1 + self.learnt))
+        weight = max(LEARNING_RATE, 1 / (1 + self.learnt))
         self.slowness += weight * (ratio - self.slowness)
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Take note of a failure; a target that mostly fails rests."""
-        self.failing += FAILURE_LEARN * (1 - self.failing)
-        if self._fails:
-            self._rest(now, FIRST_REST_S)
+        self.failing += FAILURE_LEARNING_RATE * (1 - self.failing)
+        if self._is_failing:
+            self._back_off(now, INITIAL_BACKOFF_S)
 
-    def unreachable(self, now: float) -> None:
+    def record_unreachable(self, now: float) -> None:
         """Take note that the target could not be reached; it rests."""
-        self.failing += FAILURE_LEARN * (1 - self.failing)
-        self._rest(now, FIRST_REST_S)
+        self.failing += FAILURE_LEARNING_RATE * (1 - self.failing)
+        self._back_off(now, INITIAL_BACKOFF_S)
 
-    def rejected(self, now: float) -> None:
+    def record_rejection(self, now: float) -> None:
         """Take note that the target did not take a request; it rests shortly."""
-        self._rest(now, REJECTED_REST_S)
+        self._back_off(now, REJECTED_BACKOFF_S)
 
     @property
-    def _fails(self) -> bool:
-        return self.failing >= MOSTLY_FAILING
+    def _is_failing(self) -> bool:
+        return self.failing >= MAX_FAILURE_SHARE
 
-    def _rest(self, now: float, first: float) -> None:
+    def _back_off(self, now: float, initial: float) -> None:
         if self.usable(now):
-            rest = first * 2 ** min(8, self.rests)
+            backoff = initial * 2 ** min(8, self.rests)
             self.rests += 1
-            self.rest_until = now + min(MAX_REST_S, rest)
+            self.rest_until = now + min(MAX_BACKOFF_S, backoff)
 
     def summary(self, now: float) -> str:
         """Return the state in a few words, for the log."""
-        marks = [
+        parts = [
             f"{len(self.running)}/{self.slots}",
             f"x{self.slowness:.2f}",
             f"f{self.failing:.2f}",
         ]
         if self.leaving:
-            marks.append("leaving")
+            parts.append("leaving")
         if now < self.rest_until:
-            marks.append("resting")
-        return " ".join(marks)
+            parts.append("resting")
+        return " ".join(parts)
--- a/hibiscusstep/routing/slots.py
+++ b/hibiscusstep/routing/slots.py
@@ -9,39 +9,39 @@
 from hibiscusstep.rollout.controller import Rollout
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.base import PoolDispatcher
-from hibiscusstep.routing.own_targets import OwnTargets
+from hibiscusstep.routing.own_targets import TargetSubset
 from hibiscusstep.routing.patience import (
     MAX_RETRY_AFTER_S,
-    last_useful_start,
     retry_after,
+    wait_deadline,
 )
 from hibiscusstep.routing.plan import Plan, PlannedPool
 from hibiscusstep.routing.rank_floor import RankFloor
-from hibiscusstep.routing.run_watch import LostRuns, RunWatch
-from hibiscusstep.routing.slot_choice import SlotChoice
-from hibiscusstep.routing.slot_queue import Returns, SlotQueue
+from hibiscusstep.routing.run_watch import GrantMonitor, LostRequests
+from hibiscusstep.routing.slot_choice import TargetSelector
+from hibiscusstep.routing.slot_queue import RefusedRequests, SlotQueue
 from hibiscusstep.routing.slot_target import Run, SlotTarget
-from hibiscusstep.routing.suspect_runs import without_suspects
+from hibiscusstep.routing.suspect_runs import exclude_suspect_targets
 from hibiscusstep.routing.switches import ALL_ON, Switches
-from hibiscusstep.routing.version_split import VersionSplit
+from hibiscusstep.routing.version_split import VersionPartition
 
 __all__ = ["SlotDispatcher"]
 
 # So many of the waiting requests are weighed for the free targets at a time.
-WEIGHED = 8
+MAX_EXAMINED = 8
 # At the most, where some of them may go to few targets only.
-MOST_WEIGHED = 64
+MAX_EXAMINED_RESTRICTED = 64
 # A grant is on its way to its instance for less than this.
-GRANT_TRANSIT_S = 0.7
+MAX_GRANT_TRANSIT_S = 0.7
 # How fast all targets work together changes slowly against this.
-RATE_VALID_S = 0.05
+RATE_UPDATE_INTERVAL_S = 0.05
 
 
 # What makes a wait longer, or shows that one was too long.
-_MAY_EXPIRE = (m.Ask, m.Tick, m.Recovered, m.Configure)
+_EXPIRY_TRIGGERS = (m.Ask, m.Tick, m.Recovered, m.Configure)
 # After these a target may be good for a request that waits; all that is only a matter
 # of time is looked at with each tick.
-_MAY_FREE = (
+_GRANT_TRIGGERS = (
     m.Finished,
     m.Held,
     m.InstanceGone,
@@ -82,45 +82,45 @@
         **_options,
     ) -> None:
         super().__init__(pool_name)
-        spreads = alone and switches.spread_alone
-        self._own_targets = OwnTargets(alone) if spreads else None
-        self._own: list[SlotTarget] = []
-        self._own_at = -math.inf
-        self._own_name = alone
+        uses_subset = alone and switches.spread_alone
+        self._target_subset = TargetSubset(alone) if uses_subset else None
+        self._subset_targets: list[SlotTarget] = []
+        self._subset_updated_at = -math.inf
+        self._standalone_name = alone
         self._switches = switches
         self._queue = SlotQueue()
-        self._returns = Returns()
-        self._floor = RankFloor(spares_short=switches.short_ranks)
-        self._choice = SlotChoice(switches)
-        self._watch = RunWatch()
-        self._lost = LostRuns()
+        self._refused_requests = RefusedRequests()
+        self._rank_floor = RankFloor(protect_short=switches.short_ranks)
+        self._selector = TargetSelector(switches)
+        self._grant_monitor = GrantMonitor()
+        self._lost_requests = LostRequests()
         # Slowness of targets by others, also of those that are not known here yet.
-        self._kept: dict[str, float] = {}
-        self._rate = 0.0
-        self._rate_at = -math.inf
-        self._split = VersionSplit(self._choice, bool(alone))
+        self._imported_slowness: dict[str, float] = {}
+        self._service_rate = 0.0
+        self._service_rate_updated_at = -math.inf
+        self._version_partition = VersionPartition(self._selector, bool(alone))
         # Looked up for each message: a dispatching decorator costs 7 us each time.
-        self._takers = {
-            m.Ask: self._ask,
+        self._handlers = {
+            m.Ask: self._enqueue,
             m.Withdraw: self._withdraw,
             m.FirstToken: self._first_token,
             m.Finished: self._finished,
-            m.Held: self._held,
-            m.Learnt: self._take_learnt,
+            m.Held: self._reconcile_held,
+            m.Learnt: self._import_estimates,
             m.LoadReport: self._load_report,
             m.Adopt: self._adopt,
             m.Recovered: self._recover,
             m.InstanceGone: self._instance_gone,
             m.Configure: self._reconfigure,
             m.Tick: self._tick,
-            m.Doubt: self._nothing,
+            m.Doubt: self._ignore,
         }
         self._configure(plan, 0.0)
 
     @property
     def waiting(self) -> dict[str, int]:
         """How many wait, by rank."""
-        return self._queue.by_tier
+        return self._queue.count_by_tier
 
     @property
     def learnt(self) -> m.Learnt | None:
@@ -128,22 +128,22 @@
         slowness = {name: t.slowness for name, t in self._targets.items() if t.learnt}
         if not slowness:
             return None
-        return self._choice.learnt(slowness)
+        return self._selector.estimates(slowness)
 
     @property
     def overdue(self) -> int:
         """Slots held for requests beyond their expected end."""
-        return self._watch.overdue
+        return self._grant_monitor.overdue
 
     @property
     def is_alone(self) -> bool:
         """Whether it dispatches for one instance only."""
-        return self._own_name != ""
+        return self._standalone_name != ""
 
     @property
     def rollout(self) -> Rollout | None:
         """The order to another version that is being carried out."""
-        return self._split.rollout
+        return self._version_partition.rollout
 
     def instances_waiting(self) -> set[str]:
         """Return the instances that want to hear that they are not forgotten."""
@@ -156,7 +156,7 @@
     def summary(self, now: float) -> dict:
         """Return the state in short: of each target, what runs and what was learnt."""
         targets = {name: target.summary(now) for name, target in self._targets.items()}
-        shares = self._floor.shares(now)
+        shares = self._rank_floor.grant_shares(now)
         granted = {str(rank): round(shares[rank], 2) for rank in sorted(shares)}
         return {
             "waiting": self.waiting,
@@ -167,92 +167,98 @@
 
     def _decide(self, message, now: float) -> None:
         if isinstance(message, m.Ask):
-            self._schedule_one(message.work.ask, now)
-        elif isinstance(message, _MAY_FREE):
+            self._schedule_new(message.work.ask, now)
+        elif isinstance(message, _GRANT_TRIGGERS):
             self._schedule(now)
-        if isinstance(message, _MAY_EXPIRE):
-            self._reckon_rate(now)
+        if isinstance(message, _EXPIRY_TRIGGERS):
+            self._update_service_rate(now)
             self._expire(now)
 
     def _take(self, message, now: float) -> None:
-        take = self._takers.get(type(message))
-        if take is None:
+        handler = self._handlers.get(type(message))
+        if handler is None:
             raise TypeError(f"no dispatcher message: {message!r}")
-        take(message, now)
+        handler(message, now)
 
-    def _ask(self, message: m.Ask, now: float) -> None:
+    def _enqueue(self, message: m.Ask, now: float) -> None:
         work = message.work
         if work.ask in self._queue:
             return
         self.counts.asked += 1
-        if not self._returns.knows(work):
-            self._floor.asked(work.rank, now, self._choice.cost(work))
+        if not self._refused_requests.was_refused(work):
+            self._rank_floor.record_request(
+                work.rank, now, self._selector.service_seconds(work)
+            )
         if self._switches.late_last:
-            work = self._returns.recognize(work, now)
+            work = self._refused_requests.with_original_due(work, now)
         # Seconds until it is served where nothing else is to do.
-        reach = self._choice.fastest * self._choice.reach(work)
-        late = self._switches.late_last and 0 < work.due < now + reach
-        least = self._choice.cautious_reach(work)
-        deadline = last_useful_start(work, least, late, self._switches)
-        self._queue.add(work, self._choice.cost(work), deadline, late)
+        reach_seconds = (
+            self._selector.min_slowness * self._selector.first_token_seconds(work)
+        )
+        late = self._switches.late_last and 0 < work.due < now + reach_seconds
+        bound = self._selector.serve_time_bound(work)
+        deadline = wait_deadline(work, bound, late, self._switches)
+        self._queue.add(work, self._selector.service_seconds(work), deadline, late)
 
     def _withdraw(self, message: m.Withdraw, now: float) -> None:
-        self._drop(message.ask, now)
+        self._remove_request(message.ask, now)
 
     def _first_token(self, message: m.FirstToken, now: float) -> None:
         target = self._targets.get(self._placed.get(message.ask, ""))
-        run = target.begin(message.ask) if target else None
+        run = target.mark_first_token(message.ask) if target else None
         if run is not None:
-            self._choice.begun(target, run, message.seconds)
-            self._split.changed(target, now)
+            self._selector.record_first_token(target, run, message.seconds)
+            self._version_partition.update(target, now)
 
     def _finished(self, message: m.Finished, now: float) -> None:
-        self._watch.forget(message.ask)
-        self._lost.forget(message.ask)
+        self._grant_monitor.forget(message.ask)
+        self._lost_requests.forget(message.ask)
         target = self._targets.get(self._placed.pop(message.ask, ""))
         run = target.remove(message.ask) if target else None
         if run is None:
             return
-        self._split.ended(target, run, message, now)
+        self._version_partition.record_end(target, run, message, now)
         match message.outcome:
             case m.Outcome.DONE:
-                self._choice.learn(target, run, message, now)
+                self._selector.record_answer(target, run, message, now)
             case m.Outcome.FAILED | m.Outcome.BROKEN:
-                target.failed(now)
+                target.record_failure(now)
             case m.Outcome.UNREACHABLE:
-                target.unreachable(now)
+                target.record_unreachable(now)
             case m.Outcome.REJECTED:
-                target.rejected(now)
+                target.record_rejection(now)
             case m.Outcome.LEAVING:
                 target.leaving = True
         if message.outcome is not m.Outcome.DONE:
-            self._own_at = -math.inf
-        self._split.changed(target, now)
+            self._subset_updated_at = -math.inf
+        self._version_partition.update(target, now)
 
-    def _held(self, message: m.Held, now: float) -> None:
-        self._watch.confirm(message.asks, now)
-        for lost in self._lost.take(message.asks):
+    def _reconcile_held(self, message: m.Held, now: float) -> None:
+        self._grant_monitor.confirm_held(message.asks, now)
+        for lost in self._lost_requests.take(message.asks):
             if lost.target in self._targets:
-                self._run(self._targets[lost.target], lost.work, now)
-        for ask in self._watch.asks_of(message.instance) - message.asks:
+                self._start(self._targets[lost.target], lost.work, now)
+        for ask in (
+            self._grant_monitor.asks_of_instance(message.instance) - message.asks
+        ):
             run = self._targets[self._placed[ask]].running[ask]
-            if run.granted < now - GRANT_TRANSIT_S:
-                self._drop(ask, now)
+            if run.granted < now - MAX_GRANT_TRANSIT_S:
+                self._remove_request(ask, now)
 
-    def _take_learnt(self, message: m.Learnt, now: float) -> None:
+    def _import_estimates(self, message: m.Learnt, now: float) -> None:
         if not message.old:
-            self._kept = {}
+            self._imported_slowness = {}
         elif self.learnt:
             return
-        self._kept |= message.slowness
+        self._imported_slowness |= message.slowness
         for target in self._targets.values():
-            self._believe(target)
-            self._split.changed(target, now)
-        self._choice.believe(message)
+            self._apply_imported_slowness(target)
+            self._version_partition.update(target, now)
+        self._selector.import_estimates(message)
 
-    def _believe(self, target: SlotTarget) -> None:
+    def _apply_imported_slowness(self, target: SlotTarget) -> None:
         """Take over what others learnt of a target."""
-        slowness = self._kept.get(target.name)
+        slowness = self._imported_slowness.get(target.name)
         if slowness is not None:
             target.slowness = slowness
             target.learnt = max(1, target.learnt)
@@ -265,10 +271,10 @@
             target.foreign_at = now
 
     def _adopt(self, message: m.Adopt, now: float) -> None:
-        self._drop(message.work.ask, now)
+        self._remove_request(message.work.ask, now)
         target = self._targets.get(message.target)
         if target:
-            self._run(target, message.work, now)
+            self._start(target, message.work, now)
             target.running[message.work.ask].adopted = True
 
     def _recover(self, message: m.Recovered, now: float) -> None:
@@ -276,37 +282,39 @@
 
     def _instance_gone(self, message: m.InstanceGone, now: float) -> None:
         gone = [work.ask for work in self._queue if work.instance == message.instance]
-        for ask in (*gone, *self._watch.asks_of(message.instance)):
-            self._drop(ask, now)
+        for ask in (*gone, *self._grant_monitor.asks_of_instance(message.instance)):
+            self._remove_request(ask, now)
 
     def _reconfigure(self, message: m.Configure, now: float) -> None:
         self._configure(message.configuration, now)
 
     def _tick(self, message: m.Tick, now: float) -> None:
         """Ask for what should have ended, and free what was asked for in vain."""
-        if self._recovered and (concluded := self._split.tick(self._targets, now)):
-            self._decisions.append(concluded)
+        if self._recovered and (
+            conclusion := self._version_partition.tick(self._targets, now)
+        ):
+            self._decisions.append(conclusion)
         if not self._switches.ask_overdue:
             return
-        suspects = self._watch.check(now)
-        self._decisions += [m.Inquire(name) for name in sorted(suspects.instances)]
-        for ask in suspects.lost:
+        result = self._grant_monitor.check(now)
+        self._decisions += [m.Inquire(name) for name in sorted(result.instances)]
+        for ask in result.lost:
             target = self._targets[self._placed[ask]]
             lost = m.Lost(target.running[ask].work, target.name)
-            self._drop(ask, now)
+            self._remove_request(ask, now)
             self.counts.lost += 1
-            self._lost.add(lost, now)
+            self._lost_requests.add(lost, now)
             self._decisions.append(lost)
 
-    def _nothing(self, message: m.Doubt, now: float) -> None:
+    def _ignore(self, message: m.Doubt, now: float) -> None:
         """Take note of nothing: refusals here do not depend on what others serve."""
 
     def _configure(self, plan: Plan, now: float) -> None:
         pool = plan.pools.get(self._pool_name, PlannedPool(True))
-        self._choice.configure(pool)
-        self._split.configure(pool)
-        self._rate_at = -math.inf
-        self._own_at = -math.inf
+        self._selector.configure(pool)
+        self._version_partition.configure(pool)
+        self._service_rate_updated_at = -math.inf
+        self._subset_updated_at = -math.inf
         for name, planned in pool.targets.items():
             target = self._targets.get(name)
             if target is None:
@@ -314,63 +322,66 @@
                 target.data_centre = planned.data_centre
                 target.version = planned.version
                 self._targets[name] = target
-                self._believe(target)
+                self._apply_imported_slowness(target)
             target.slots = planned.slots
             target.leaving |= planned.leaving
-            self._split.place(target, now)
+            self._version_partition.assign(target, now)
         for name in self._targets.keys() - pool.targets.keys():
             gone = self._targets.pop(name)
-            self._split.remove(gone)
+            self._version_partition.remove(gone)
             for ask in gone.running:
                 self._placed.pop(ask, None)
-                self._watch.forget(ask)
+                self._grant_monitor.forget(ask)
 
     def _schedule(self, now: float) -> None:
         """Grant what can be granted, in order; some may wait for a better target."""
         if not self._queue:
             return
-        while self._has_room(now) and self._try_owed(now):
+        while self._has_free_slot(now) and self._try_underserved(now):
             pass
-        passed_over, weighed = 0, WEIGHED
-        while passed_over < min(weighed, len(self._queue)) and self._has_room(now):
-            work = self._queue[passed_over]
-            if not self._try(work, now):
-                passed_over += 1
+        skipped, limit = 0, MAX_EXAMINED
+        while skipped < min(limit, len(self._queue)) and self._has_free_slot(now):
+            work = self._queue[skipped]
+            if not self._try_grant(work, now):
+                skipped += 1
                 if work.suspect or work.resting:
                     # What may not go where there is room holds up nobody behind it.
-                    weighed = min(MOST_WEIGHED, weighed + 1)
+                    limit = min(MAX_EXAMINED_RESTRICTED, limit + 1)
 
-    def _try_owed(self, now: float) -> bool:
+    def _try_underserved(self, now: float) -> bool:
         """Grant a request of a rank that is owed one; whether one was granted."""
         if not self._switches.rank_floor:
             return False
-        first = (self._queue.first_of(rank) for rank in self._floor.owed(now))
-        return any(work and self._try(work, now) for work in first)
+        first = (
+            self._queue.first_of_rank(rank)
+            for rank in self._rank_floor.underserved(now)
+        )
+        return any(work and self._try_grant(work, now) for work in first)
 
-    def _schedule_one(self, ask: str, now: float) -> None:
+    def _schedule_new(self, ask: str, now: float) -> None:
         """Grant a new request if it can be: the others have been weighed already."""
         work = self._queue.get(ask)
-        if work is not None and self._has_room(now):
-            self._try(work, now)
+        if work is not None and self._has_free_slot(now):
+            self._try_grant(work, now)
 
-    def _has_room(self, now: float) -> bool:
+    def _has_free_slot(self, now: float) -> bool:
         """Whether a slot may be free, and its part of all slots is not taken."""
-        most = math.ceil(self.share * self._split.slots(now))
-        return len(self._placed) < most and self._split.has_room(now)
+        limit = math.ceil(self.share * self._version_partition.slots(now))
+        return len(self._placed) < limit and self._version_partition.has_free_slot(now)
 
-    def _try(self, work: m.Work, now: float) -> bool:
+    def _try_grant(self, work: m.Work, now: float) -> bool:
         """Grant a request if one of the free targets is good for it."""
-        if canary := self._split.choose(work, now):
+        if canary := self._version_partition.choose_canary(work, now):
             self._grant(work, canary, [canary], now)
             return True
         free, worth_waiting = self._candidates(work, now)
-        free = without_suspects(work, free, self._targets.values())
+        free = exclude_suspect_targets(work, free, self._targets.values())
         if work.resting:
             free = [target for target in free if target.name not in work.resting]
         if not free:
             return False
-        target = self._choice.choose(work, free, worth_waiting, now)
-        if target is None or not self._split.may_serve(work, target, now):
+        target = self._selector.choose(work, free, worth_waiting, now)
+        if target is None or not self._version_partition.may_serve(work, target, now):
             return False
         self._grant(work, target, free, now)
         return True
@@ -379,35 +390,41 @@
         self, work: m.Work, now: float
     ) -> tuple[list[SlotTarget], list[SlotTarget]]:
         """Return free targets for a request, and those that it may rather wait for."""
-        if self._own_targets is None:
-            order = self._split.serving
-            return order.free(work.data_centre, now), order.fastest(now)
-        if now >= self._own_at + RATE_VALID_S:
-            self._own_at = now
-            self._own = self._own_targets.choose(
-                self._split.serving.usable(now), self.share
+        if self._target_subset is None:
+            order = self._version_partition.serving
+            return order.candidates(work.data_centre, now), order.fastest(now)
+        if now >= self._subset_updated_at + RATE_UPDATE_INTERVAL_S:
+            self._subset_updated_at = now
+            self._subset_targets = self._target_subset.choose(
+                self._version_partition.serving.usable(now), self.share
             )
-        return [target for target in self._own if target.free(now) > 0], self._own
+        return [
+            target for target in self._subset_targets if target.available_slots(now) > 0
+        ], self._subset_targets
 
     def _grant(self, work: m.Work, target: SlotTarget, free, now: float) -> None:
         self._queue.remove(work.ask)
         self.counts.granted += 1
-        self._split.granted(target)
-        self._floor.granted(work.rank, now)
-        weighed = self._choice.weighed(work, free, now)
-        self._run(target, work, now)
+        self._version_partition.record_grant(target)
+        self._rank_floor.record_grant(work.rank, now)
+        costs = self._selector.candidate_costs(work, free, now)
+        self._start(target, work, now)
         wait = round(now - work.received, 4)
-        self._decisions.append(m.Grant(work, target.name, wait, weighed))
-
-    def _run(self, target: SlotTarget, work: m.Work, now: float) -> None:
-        choice = self._choice
-        run = Run(work, now, choice.cost(work), choice.prefill(work))
-        run.expected_first = target.prefill_left(now) + choice.reach(work)
+        self._decisions.append(m.Grant(work, target.name, wait, costs))
+
+    def _start(self, target: SlotTarget, work: m.Work, now: float) -> None:
+        selector = self._selector
+        run = Run(
+            work, now, selector.service_seconds(work), selector.prefill_seconds(work)
+        )
+        run.expected_first = target.remaining_prefill(
+            now
+        ) + selector.first_token_seconds(work)
         target.add(work.ask, run)
-        self._split.changed(target, now)
+        self._version_partition.update(target, now)
         self._placed[work.ask] = target.name
-        ends = now + choice.longest(target, work, now)
-        self._watch.watch(work.ask, work.instance, ends)
+        expected_end = now + selector.duration_bound(target, work, now)
+        self._grant_monitor.register(work.ask, work.instance, expected_end)
 
     def _expire(self, now: float) -> None:
         """Refuse what is overdue, and what is expected to be.
@@ -416,44 +433,50 @@
         the last when it came has been pushed back by higher ranks only, and then the
         last first.
         """
-        for work in self._queue.overdue(now):
-            self._refuse(work, self._wait(work))
-        for place in self._queue.classes():
-            while work := self._queue.last_of(place):
-                wait = self._wait(work)
+        for work in self._queue.expired(now):
+            self._refuse(work, self._estimated_wait(work))
+        for priority in self._queue.priority_classes():
+            while work := self._queue.last_of_class(priority):
+                wait = self._estimated_wait(work)
                 if now + wait < self._queue.deadline(work.ask):
                     break
                 self._refuse(work, wait)
 
-    def _wait(self, work: m.Work) -> float:
+    def _estimated_wait(self, work: m.Work) -> float:
         """Return the guessed seconds until the targets come to a waiting request."""
-        ahead = self._queue.ahead(work.ask)
-        wait = ahead / self._rate if self._rate else MAX_RETRY_AFTER_S
-        least = self._floor.rate(work.rank) if self._switches.rank_floor else 0.0
-        if least:
-            wait = min(wait, (self._queue.place_in_rank(work.ask) + 1) / least)
+        ahead = self._queue.seconds_ahead(work.ask)
+        wait = ahead / self._service_rate if self._service_rate else MAX_RETRY_AFTER_S
+        min_rate = (
+            self._rank_floor.min_grant_rate(work.rank)
+            if self._switches.rank_floor
+            else 0.0
+        )
+        if min_rate:
+            wait = min(wait, (self._queue.position_in_rank(work.ask) + 1) / min_rate)
         return wait
 
-    def _reckon_rate(self, now: float) -> None:
+    def _update_service_rate(self, now: float) -> None:
         """Reckon again how fast the targets work, at most once a moment."""
-        if now >= self._rate_at + RATE_VALID_S:
-            self._rate_at = now
-            usable = self._split.serving.usable(now)
-            self._rate = sum(t.slots / t.slowness for t in usable)
-            self._choice.fastest = min((t.slowness for t in usable), default=1.0)
+        if now >= self._service_rate_updated_at + RATE_UPDATE_INTERVAL_S:
+            self._service_rate_updated_at = now
+            usable = self._version_partition.serving.usable(now)
+            self._service_rate = sum(t.slots / t.slowness for t in usable)
+            self._selector.min_slowness = min((t.slowness for t in usable), default=1.0)
             slots = sum(t.slots for t in usable)
-            self._choice.usual = slots / self._rate if self._rate else 1.0
+            self._selector.mean_slowness = (
+                slots / self._service_rate if self._service_rate else 1.0
+            )
 
     def _refuse(self, work: m.Work, wait: float) -> None:
         self._queue.remove(work.ask)
-        self._returns.refused(work)
+        self._refused_requests.record(work)
         self.counts.refused += 1
         self._decisions.append(m.Refuse(work, m.Reason.LOAD, retry_after(wait)))
 
-    def _drop(self, ask: str, now: float) -> None:
+    def _remove_request(self, ask: str, now: float) -> None:
         self._queue.remove(ask)
-        self._watch.forget(ask)
+        self._grant_monitor.forget(ask)
         target = self._targets.get(self._placed.pop(ask, ""))
         if target:
             target.remove(ask)
-            self._split.changed(target, now)
+            self._version_partition.update(target, now)
--- a/hibiscusstep/routing/suspect_runs.py
+++ b/hibiscusstep/routing/suspect_runs.py
@@ -5,10 +5,10 @@
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.slot_target import SlotTarget
 
-__all__ = ["without_suspects"]
+__all__ = ["exclude_suspect_targets"]
 
 
-def without_suspects(
+def exclude_suspect_targets(
     work: m.Work, free: list[SlotTarget], targets: Iterable[SlotTarget]
 ) -> list[SlotTarget]:
     """Return the free targets at which a suspected request may run.
--- a/hibiscusstep/routing/target_order.py
+++ b/hibiscusstep/routing/target_order.py
@@ -9,25 +9,25 @@
 
 from hibiscusstep.routing.slot_target import SlotTarget
 
-__all__ = ["TargetOrder"]
+__all__ = ["TargetIndex"]
 
 # With fewer than this share of the targets fit, failures say more of the network, or
 # of the one who reports them, than of the targets: all are used.
-PANIC_SHARE = 0.5
+PANIC_THRESHOLD = 0.5
 # Seconds of a usual request, by which the targets with room are ordered.
-USUAL_S = 0.6
+TYPICAL_REQUEST_S = 0.6
 # So many of the cheapest targets with room are weighed for a request, of its own data
 # centre and of each other one: the best is among them, as far as their order by a usual
 # request tells, and a decision costs the same however many there are.
-NEAR_WEIGHED = 8
-ELSEWHERE_WEIGHED = 3
+MAX_LOCAL_CANDIDATES = 8
+MAX_REMOTE_CANDIDATES = 3
 # So many of the fastest targets are looked at for one that is worth the wait: where
 # they do not serve in time, no slower one does but by chance.
-FASTEST_LOOKED_AT = 24
+MAX_FASTEST = 24
 
 
 @dataclass(slots=True)
-class _Place:
+class _Entry:
     """What a target counts for, and where it stands in the orders."""
 
     target: SlotTarget
@@ -40,7 +40,7 @@
     pace: tuple[float, int] | None = None
 
 
-class TargetOrder:
+class TargetIndex:
     """Tells which targets have room, and which are fast, without a walk over all.
 
     A walk over all for each message made a decision cost 96 us with 30 targets and
@@ -48,115 +48,119 @@
     """
 
     def __init__(self) -> None:
-        self._places: dict[str, _Place] = {}
+        self._entries: dict[str, _Entry] = {}
         self._by_number: dict[int, SlotTarget] = {}
         self._numbers = itertools.count()
-        self._room: dict[str, SortedList] = defaultdict(SortedList)
-        self._pace = SortedList()
-        self._rests: list[tuple[float, int]] = []
-        self._fit = 0
-        self._staying = 0
+        self._by_cost: dict[str, SortedList] = defaultdict(SortedList)
+        self._by_slowness = SortedList()
+        self._backoffs: list[tuple[float, int]] = []
+        self._healthy_count = 0
+        self._staying_count = 0
         self._slots = 0
 
     def add(self, target: SlotTarget, now: float) -> None:
         """Take a target; of those that are alike the one that was added first leads."""
         number = next(self._numbers)
         self._by_number[number] = target
-        self._places[target.name] = _Place(target, number)
-        self.changed(target, now)
+        self._entries[target.name] = _Entry(target, number)
+        self.update(target, now)
 
     def remove(self, target: SlotTarget) -> None:
         """Drop a target."""
-        place = self._places.pop(target.name)
-        self._clear(place)
-        del self._by_number[place.number]
+        entry = self._entries.pop(target.name)
+        self._unlink(entry)
+        del self._by_number[entry.number]
 
-    def changed(self, target: SlotTarget, now: float) -> None:
+    def update(self, target: SlotTarget, now: float) -> None:
         """Take note that a target's slots, speed, failures or state changed."""
-        place = self._places.get(target.name)
-        if place is None:
+        entry = self._entries.get(target.name)
+        if entry is None:
             return
-        if place.fit and target.usable(now) and self._is_placed_alike(place):
-            self._move(place)
+        if entry.fit and target.usable(now) and self._is_config_current(entry):
+            self._reposition(entry)
             return
-        self._clear(place)
+        self._unlink(entry)
         if target.leaving:
             return
-        self._staying += 1
-        place.staying = True
-        place.slots, place.centre = target.slots, target.data_centre
+        self._staying_count += 1
+        entry.staying = True
+        entry.slots, entry.centre = target.slots, target.data_centre
         if now < target.rest_until:
-            heapq.heappush(self._rests, (target.rest_until, place.number))
+            heapq.heappush(self._backoffs, (target.rest_until, entry.number))
             return
-        place.fit = True
-        self._fit += 1
+        entry.fit = True
+        self._healthy_count += 1
         self._slots += target.slots
-        self._move(place)
+        self._reposition(entry)
 
-    def _move(self, place: _Place) -> None:
+    def _reposition(self, entry: _Entry) -> None:
         """Put a target that is fit where it stands in the orders now."""
-        target = place.target
-        pace = target.slowness, place.number
-        if pace != place.pace:
-            if place.pace:
-                self._pace.remove(place.pace)
-            self._pace.add(pace)
-            place.pace = pace
-        room = (target.cost(USUAL_S), place.number) if target.room > 0 else None
-        if room != place.room:
-            if place.room:
-                self._room[place.centre].remove(place.room)
+        target = entry.target
+        pace = target.slowness, entry.number
+        if pace != entry.pace:
+            if entry.pace:
+                self._by_slowness.remove(entry.pace)
+            self._by_slowness.add(pace)
+            entry.pace = pace
+        room = (
+            (target.cost(TYPICAL_REQUEST_S), entry.number)
+            if target.unassigned_slots > 0
+            else None
+        )
+        if room != entry.room:
+            if entry.room:
+                self._by_cost[entry.centre].remove(entry.room)
             if room:
-                self._room[place.centre].add(room)
-            place.room = room
-
-    def _clear(self, place: _Place) -> None:
-        self._staying -= place.staying
-        if place.fit:
-            self._fit -= 1
-            self._slots -= place.slots
-            self._pace.remove(place.pace)
-        if place.room:
-            self._room[place.centre].remove(place.room)
-        place.staying = place.fit = False
-        place.room = place.pace = None
-
-    def _is_placed_alike(self, place: _Place) -> bool:
-        target = place.target
-        return (place.slots, place.centre) == (target.slots, target.data_centre)
-
-    def _wake(self, now: float) -> None:
+                self._by_cost[entry.centre].add(room)
+            entry.room = room
+
+    def _unlink(self, entry: _Entry) -> None:
+        self._staying_count -= entry.staying
+        if entry.fit:
+            self._healthy_count -= 1
+            self._slots -= entry.slots
+            self._by_slowness.remove(entry.pace)
+        if entry.room:
+            self._by_cost[entry.centre].remove(entry.room)
+        entry.staying = entry.fit = False
+        entry.room = entry.pace = None
+
+    def _is_config_current(self, entry: _Entry) -> bool:
+        target = entry.target
+        return (entry.slots, entry.centre) == (target.slots, target.data_centre)
+
+    def _end_backoffs(self, now: float) -> None:
         """Take back those that have rested."""
-        while self._rests and self._rests[0][0] <= now:
-            _until, number = heapq.heappop(self._rests)
+        while self._backoffs and self._backoffs[0][0] <= now:
+            _until, number = heapq.heappop(self._backoffs)
             target = self._by_number.get(number)
-            if target and not self._places[target.name].fit:
-                self.changed(target, now)
+            if target and not self._entries[target.name].fit:
+                self.update(target, now)
 
-    def _panics(self, now: float) -> bool:
-        self._wake(now)
-        return self._fit < PANIC_SHARE * self._staying
+    def _in_panic_mode(self, now: float) -> bool:
+        self._end_backoffs(now)
+        return self._healthy_count < PANIC_THRESHOLD * self._staying_count
 
-    def _all_staying(self) -> list[SlotTarget]:
+    def _staying_targets(self) -> list[SlotTarget]:
         return [t for t in self._by_number.values() if not t.leaving]
 
     def usable(self, now: float) -> list[SlotTarget]:
         """Return all targets that may be used."""
-        if self._panics(now):
-            return self._all_staying()
-        return [t for t in self._all_staying() if t.usable(now)]
+        if self._in_panic_mode(now):
+            return self._staying_targets()
+        return [t for t in self._staying_targets() if t.usable(now)]
 
     def slots(self, now: float) -> int:
         """Return the slots of all targets that may be used."""
-        if self._panics(now):
-            return sum(target.slots for target in self._all_staying())
+        if self._in_panic_mode(now):
+            return sum(target.slots for target in self._staying_targets())
         return self._slots
 
-    def has_room(self, now: float) -> bool:
+    def has_free_slot(self, now: float) -> bool:
         """Whether a target that may be used seems to have a free slot."""
-        return self._panics(now) or any(self._room.values())
+        return self._in_panic_mode(now) or any(self._by_cost.values())
 
-    def free(self, centre: str, now: float) -> list[SlotTarget]:
+    def candidates(self, centre: str, now: float) -> list[SlotTarget]:
         """Return targets with a free slot that are worth weighing for a request.
 
         Parameters
@@ -166,22 +170,23 @@
         now : float
             Seconds on the dispatcher's clock.
         """
-        if self._panics(now):
-            found = self._all_staying()
+        if self._in_panic_mode(now):
+            targets = self._staying_targets()
         else:
-            found = [
+            targets = [
                 self._by_number[number]
-                for name, room in self._room.items()
+                for name, room in self._by_cost.items()
                 for _cost, number in room[
-                    : NEAR_WEIGHED if name == centre else ELSEWHERE_WEIGHED
+                    : MAX_LOCAL_CANDIDATES if name == centre else MAX_REMOTE_CANDIDATES
                 ]
             ]
-        return [target for target in found if target.free(now) > 0]
+        return [target for target in targets if target.available_slots(now) > 0]
 
     def fastest(self, now: float) -> list[SlotTarget]:
         """Return the fastest targets that may be used, with room or without."""
-        if self._panics(now):
-            return self._all_staying()
+        if self._in_panic_mode(now):
+            return self._staying_targets()
         return [
-            self._by_number[number] for _pace, number in self._pace[:FASTEST_LOOKED_AT]
+            self._by_number[number]
+            for _slowness, number in self._by_slowness[:MAX_FASTEST]
         ]
--- a/hibiscusstep/routing/version_split.py
+++ b/hibiscusstep/routing/version_split.py
@@ -6,11 +6,11 @@
 from hibiscusstep.rollout.controller import Rollout
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.plan import PlannedPool
-from hibiscusstep.routing.slot_choice import SlotChoice
+from hibiscusstep.routing.slot_choice import TargetSelector
 from hibiscusstep.routing.slot_target import Run, SlotTarget
-from hibiscusstep.routing.target_order import TargetOrder
+from hibiscusstep.routing.target_order import TargetIndex
 
-__all__ = ["VersionSplit"]
+__all__ = ["VersionPartition"]
 
 
 class _Role(enum.Enum):
@@ -20,7 +20,7 @@
 
 
 # What a request's end tells of its target's version; other ends tell nothing of it.
-_TELLING = (
+_COMPARED_OUTCOMES = (
     m.Outcome.DONE,
     m.Outcome.FAILED,
     m.Outcome.BROKEN,
@@ -28,14 +28,14 @@
 )
 
 
-class VersionSplit:
+class VersionPartition:
     """Keeps the targets of each version apart, and carries out the pool's order.
 
     Parameters
     ----------
     choice : SlotChoice
         Weighs targets for requests.
-    is_alone : bool
+    is_standalone : bool
         Whether it dispatches for one instance only: that sends nothing to a version
         that is not in force, since nobody counts it.
 
@@ -47,16 +47,16 @@
         The order that is being carried out.
     """
 
-    def __init__(self, choice: SlotChoice, is_alone: bool) -> None:
-        self._choice = choice
-        self._is_alone = is_alone
-        self._canaries = TargetOrder()
+    def __init__(self, selector: TargetSelector, is_standalone: bool) -> None:
+        self._selector = selector
+        self._is_standalone = is_standalone
+        self._canaries = TargetIndex()
         self._roles: dict[str, _Role] = {}
         # Where each target stands that is not barred.
-        self._orders: dict[str, TargetOrder] = {}
-        self._versions: frozenset[str] = frozenset()
-        self._told = False
-        self.serving = TargetOrder()
+        self._index_by_target: dict[str, TargetIndex] = {}
+        self._serving_versions: frozenset[str] = frozenset()
+        self._reported = False
+        self.serving = TargetIndex()
         self.rollout: Rollout | None = None
 
     @property
@@ -71,78 +71,80 @@
 
     def configure(self, pool: PlannedPool) -> None:
         """Take the versions in force and the order, before the targets are placed."""
-        self._versions = pool.serving
-        planned = None if self._is_alone else pool.rollout
+        self._serving_versions = pool.serving
+        planned = None if self._is_standalone else pool.rollout
         if planned is None:
             self.rollout = None
         elif self.rollout and self.rollout.planned.number == planned.number:
             self.rollout.replan(planned)
         else:
             self.rollout = Rollout(planned)
-            self._told = False
+            self._reported = False
 
-    def place(self, target: SlotTarget, now: float) -> None:
+    def assign(self, target: SlotTarget, now: float) -> None:
         """Put a target where its version belongs, and note that it changed."""
         role = self._role_of(target)
         if role is self._roles.get(target.name):
-            self.changed(target, now)
+            self.update(target, now)
             return
         self.remove(target)
         self._roles[target.name] = role
         if role is not _Role.BARRED:
-            order = self._canaries if role is _Role.CANARY else self.serving
-            self._orders[target.name] = order
-            order.add(target, now)
+            index = self._canaries if role is _Role.CANARY else self.serving
+            self._index_by_target[target.name] = index
+            index.add(target, now)
 
-    def changed(self, target: SlotTarget, now: float) -> None:
+    def update(self, target: SlotTarget, now: float) -> None:
         """Take note that a target's slots, speed, failures or state changed."""
-        order = self._orders.get(target.name)
-        if order is not None:
-            order.changed(target, now)
+        index = self._index_by_target.get(target.name)
+        if index is not None:
+            index.update(target, now)
 
     def remove(self, target: SlotTarget) -> None:
         """Drop a target."""
         self._roles.pop(target.name, None)
-        order = self._orders.pop(target.name, None)
-        if order is not None:
-            order.remove(target)
+        index = self._index_by_target.pop(target.name, None)
+        if index is not None:
+            index.remove(target)
 
     def _role_of(self, target: SlotTarget) -> _Role:
-        if not self._versions or target.version in self._versions:
+        if not self._serving_versions or target.version in self._serving_versions:
             return _Role.SERVING
         if self.rollout and target.version == self.rollout.planned.version:
             return _Role.CANARY
         return _Role.BARRED
 
-    def has_room(self, now: float) -> bool:
+    def has_free_slot(self, now: float) -> bool:
         """Whether a target that may be used seems to have a free slot."""
-        if self.serving.has_room(now):
+        if self.serving.has_free_slot(now):
             return True
         if self.rollout is None or not self.rollout.may_expose():
             return False
-        return self._canaries.has_room(now)
+        return self._canaries.has_free_slot(now)
 
-    def choose(self, work: m.Work, now: float) -> SlotTarget | None:
+    def choose_canary(self, work: m.Work, now: float) -> SlotTarget | None:
         """Return a target of the new version for a request; None if it gets none."""
         if self.rollout is None or work.suspect:
             return None
-        if not self.rollout.may_expose() or not self._canaries.has_room(now):
+        if not self.rollout.may_expose() or not self._canaries.has_free_slot(now):
             return None
         if self.rollout.moves_all:
-            free = self._canaries.free(work.data_centre, now)
+            free = self._canaries.candidates(work.data_centre, now)
             worth_waiting = self._canaries.fastest(now)
         else:
-            free = self._canaries_in_turn(now)
+            free = self._next_canary(now)
             worth_waiting = []
-        unfit = {*work.resting, *work.avoid}
-        free = [target for target in free if target.name not in unfit]
+        excluded = {*work.resting, *work.avoid}
+        free = [target for target in free if target.name not in excluded]
         if not free:
             return None
-        return self._choice.choose(work, free, worth_waiting, now)
+        return self._selector.choose(work, free, worth_waiting, now)
 
-    def _canaries_in_turn(self, now: float) -> list[SlotTarget]:
+    def _next_canary(self, now: float) -> list[SlotTarget]:
         """Return the first of the new targets, in turn, that has a free slot."""
-        free = {t.name: t for t in self._canaries.usable(now) if t.free(now) > 0}
+        free = {
+            t.name: t for t in self._canaries.usable(now) if t.available_slots(now) > 0
+        }
         tried = self.rollout.tried(self._canary_names, now)
         return [free[name] for name in tried if name in free][:1]
 
@@ -151,20 +153,20 @@
         if self.rollout is None or not self.rollout.moves_all:
             return True
         planned = self.rollout.planned
-        ends = now + self._choice.longest(target, work, now)
+        ends = now + self._selector.duration_bound(target, work, now)
         return ends < planned.deadline - planned.lead
 
-    def granted(self, target: SlotTarget) -> None:
+    def record_grant(self, target: SlotTarget) -> None:
         """Count a request that was granted a target."""
         if self.rollout:
             self.rollout.count(self._roles.get(target.name) is _Role.CANARY)
 
-    def ended(
+    def record_end(
         self, target: SlotTarget, run: Run, finished: m.Finished, now: float
     ) -> None:
         """Compare a request's end with others."""
         outcome = finished.outcome
-        if not self.rollout or outcome not in _TELLING:
+        if not self.rollout or outcome not in _COMPARED_OUTCOMES:
             return
         if run.work.suspect or run.adopted:
             return
@@ -173,7 +175,7 @@
             run.work.route,
             outcome is m.Outcome.FAILED,
             outcome is m.Outcome.BROKEN,
-            self._choice.ratio(run, finished.tokens, now),
+            self._selector.time_ratio(run, finished.tokens, now),
             outcome is m.Outcome.CANCELLED,
             run.loaded,
         )
@@ -185,7 +187,7 @@
         for name in self._canary_names:
             for run in targets[name].running.values():
                 if not (run.work.suspect or run.adopted):
-                    ratio = self._choice.ratio_so_far(run, now)
+                    ratio = self._selector.running_time_ratio(run, now)
                     yield Answer(
                         name,
                         run.work.route,
@@ -203,9 +205,9 @@
         self.rollout.comparison.take_running(running, now)
         usable = len(self._canaries.usable(now))
         self.rollout.tick(usable, now)
-        if self.rollout.verdict is None or self._told:
+        if self.rollout.verdict is None or self._reported:
             return None
-        self._told = True
+        self._reported = True
         planned = self.rollout.planned
         return m.Conclude(
             planned.version, planned.number, self.rollout.verdict, self.rollout.reason
--- a/tests/test_own_targets.py
+++ b/tests/test_own_targets.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.own_targets import FEWEST, OwnTargets
+from hibiscusstep.routing.own_targets import MIN_TARGETS, TargetSubset
 from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
 from hibiscusstep.routing.slot_target import SlotTarget
 from hibiscusstep.routing.slots import SlotDispatcher
@@ -23,27 +23,27 @@
         used = Counter(
             target.slowness
             for n in range(600)
-            for target in OwnTargets(f"i{n}").choose(targets, 0.01)
+            for target in TargetSubset(f"i{n}").choose(targets, 0.01)
         )
-        assert sum(used.values()) == 600 * FEWEST
+        assert sum(used.values()) == 600 * MIN_TARGETS
         speeds = [1 / slowness for slowness in SLOWNESS]
         for slowness in SLOWNESS:
-            even = 600 * FEWEST / slowness / sum(speeds)
+            even = 600 * MIN_TARGETS / slowness / sum(speeds)
             assert used[slowness] == pytest.approx(even, rel=0.2)
 
     def test_those_of_an_instance_stay_the_same(self):
-        own = OwnTargets("i")
+        own = TargetSubset("i")
         targets = _targets(60)
-        assert own.choose(targets, 0.01) == OwnTargets("i").choose(targets, 0.01)
+        assert own.choose(targets, 0.01) == TargetSubset("i").choose(targets, 0.01)
 
     def test_a_greater_share_is_of_more_targets(self):
-        assert len(OwnTargets("i").choose(_targets(60), 0.2)) == 12
+        assert len(TargetSubset("i").choose(_targets(60), 0.2)) == 12
 
     def test_where_one_is_gone_the_next_takes_its_place(self):
         targets = _targets(60)
-        first, *rest = OwnTargets("i").choose(targets, 0.01)
+        first, *rest = TargetSubset("i").choose(targets, 0.01)
         left = [target for target in targets if target is not first]
-        assert OwnTargets("i").choose(left, 0.01)[: len(rest)] == rest
+        assert TargetSubset("i").choose(left, 0.01)[: len(rest)] == rest
 
 
 class TestInstanceThatDispatchesForItself:
--- a/tests/test_run_watch.py
+++ b/tests/test_run_watch.py
@@ -12,66 +12,70 @@
 from hibiscusstep.desk import STALE_GRANT_S
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
-from hibiscusstep.routing.run_watch import ANSWER_S, ASK_AGAIN_S, RunWatch
+from hibiscusstep.routing.run_watch import (
+    ANSWER_TIMEOUT_S,
+    INQUIRY_INTERVAL_S,
+    GrantMonitor,
+)
 from hibiscusstep.routing.slot_choice import MIN_OVERDUE_S
 from hibiscusstep.routing.slots import SlotDispatcher
 
 TICK_S = 0.05
 
 
-def _checked(watch, until, start=0.0):
+def _checked(monitor, until, start=0.0):
     """Check at each tick; return the instances asked and the asks lost, by moment."""
     asked, lost = {}, {}
     now = start
     while now <= until:
-        suspects = watch.check(now)
-        asked |= dict.fromkeys(suspects.instances, round(now, 2))
-        for ask in suspects.lost:
+        result = monitor.check(now)
+        asked |= dict.fromkeys(result.instances, round(now, 2))
+        for ask in result.lost:
             lost[ask] = round(now, 2)
-            watch.forget(ask)
+            monitor.forget(ask)
         now += TICK_S
     return asked, lost
 
 
 class TestRunWatch:
     def test_nothing_is_asked_before_the_expected_end(self):
-        watch = RunWatch()
-        watch.watch("a", "i", 2.0)
-        assert _checked(watch, 1.9) == ({}, {})
-        assert watch.overdue == 0
+        monitor = GrantMonitor()
+        monitor.register("a", "i", 2.0)
+        assert _checked(monitor, 1.9) == ({}, {})
+        assert monitor.overdue == 0
 
     def test_who_does_not_answer_holds_nothing(self):
-        watch = RunWatch()
-        watch.watch("a", "i", 2.0)
-        asked, lost = _checked(watch, 4.0)
+        monitor = GrantMonitor()
+        monitor.register("a", "i", 2.0)
+        asked, lost = _checked(monitor, 4.0)
         assert asked == {"i": 2.0}
-        assert lost == {"a": pytest.approx(2.0 + ANSWER_S, abs=TICK_S + 0.001)}
-        assert watch.asks_of("i") == set()
+        assert lost == {"a": pytest.approx(2.0 + ANSWER_TIMEOUT_S, abs=TICK_S + 0.001)}
+        assert monitor.asks_of_instance("i") == set()
 
     def test_who_answers_is_asked_again_later(self):
-        watch = RunWatch()
-        watch.watch("a", "i", 2.0)
-        _checked(watch, 2.2)
-        watch.confirm(["a"], 2.2)
-        assert watch.overdue == 1
-        asked, lost = _checked(watch, 2.2 + ASK_AGAIN_S + 0.1, 2.25)
-        assert asked == {"i": pytest.approx(2.2 + ASK_AGAIN_S, abs=0.051)}
+        monitor = GrantMonitor()
+        monitor.register("a", "i", 2.0)
+        _checked(monitor, 2.2)
+        monitor.confirm_held(["a"], 2.2)
+        assert monitor.overdue == 1
+        asked, lost = _checked(monitor, 2.2 + INQUIRY_INTERVAL_S + 0.1, 2.25)
+        assert asked == {"i": pytest.approx(2.2 + INQUIRY_INTERVAL_S, abs=0.051)}
         assert not lost
 
     def test_an_end_that_was_told_is_not_asked_for(self):
-        watch = RunWatch()
-        watch.watch("a", "i", 2.0)
-        watch.forget("a")
-        assert _checked(watch, 4.0) == ({}, {})
+        monitor = GrantMonitor()
+        monitor.register("a", "i", 2.0)
+        monitor.forget("a")
+        assert _checked(monitor, 4.0) == ({}, {})
 
     def test_a_dispatcher_that_was_paused_itself_waits_for_the_answer(self):
         """The answer lies in its mailbox; a check may come before it."""
-        watch = RunWatch()
-        watch.watch("a", "i", 2.0)
-        _checked(watch, 2.1)
-        assert watch.check(5.0).lost == []
-        watch.confirm(["a"], 5.01)
-        assert watch.check(5.05).lost == []
+        monitor = GrantMonitor()
+        monitor.register("a", "i", 2.0)
+        _checked(monitor, 2.1)
+        assert monitor.check(5.0).lost == []
+        monitor.confirm_held(["a"], 5.01)
+        assert monitor.check(5.05).lost == []
 
 
 def _dispatcher(slots, targets=2):
@@ -101,7 +105,7 @@
         assert decided[m.Lost][1].work.ask == "a"
         at, grant = decided[m.Grant]
         assert grant.work.ask == "b"
-        assert at == pytest.approx(MIN_OVERDUE_S + ANSWER_S, abs=0.06)
+        assert at == pytest.approx(MIN_OVERDUE_S + ANSWER_TIMEOUT_S, abs=0.06)
         assert dispatcher.counts.lost == 1
 
     def test_the_state_in_the_log_tells_what_is_overdue(self):
@@ -118,13 +122,13 @@
         for n in range(40):
             dispatcher.handle(m.Tick(), n * TICK_S)
         dispatcher.handle(m.Held("i", frozenset(["a"])), 2.0)
-        assert dispatcher.targets["t0"].free(2.0) == 0
+        assert dispatcher.targets["t0"].available_slots(2.0) == 0
         dispatcher.handle(m.Finished("a", m.Outcome.DONE), 2.1)
-        assert dispatcher.targets["t0"].free(2.1) == 1
+        assert dispatcher.targets["t0"].available_slots(2.1) == 1
 
 
 @dataclass(frozen=True)
-class _Trouble:
+class _Fault:
     """What happens to an instance: `deaf` hears nothing, `mute` is not heard."""
 
     kind: str
@@ -146,9 +150,9 @@
 
     INSTANCES, TARGETS, SLOTS = 4, 2, 2
 
-    def __init__(self, seed, troubles):
+    def __init__(self, seed, faults):
         self.draw = random.Random(seed)
-        self.troubles = troubles
+        self.faults = faults
         self.dispatcher = _dispatcher(self.SLOTS, self.TARGETS)
         self.now = 0.0
         self.events = []
@@ -173,9 +177,7 @@
         """Return when an instance is next free of some troubles; None if it is dead."""
         moment = self.now
         while True:
-            hit = [
-                t for t in self.troubles if t.instance == instance and t.holds(moment)
-            ]
+            hit = [t for t in self.faults if t.instance == instance and t.holds(moment)]
             if any(t.kind == "dead" for t in hit):
                 return None
             ends = [t.start + t.length for t in hit if t.kind in kinds]
@@ -239,7 +241,7 @@
 
 
 _SLOW = st.builds(
-    _Trouble,
+    _Fault,
     st.sampled_from(["paused", "deaf", "mute"]),
     st.integers(0, _Region.INSTANCES - 1),
     st.floats(0.0, 5.0),
@@ -251,9 +253,9 @@
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(st.integers(0, 999), st.lists(_SLOW, max_size=5))
     def test_no_slot_is_granted_twice_while_instances_are_slow_or_cut(
-        self, seed, troubles
+        self, seed, faults
     ):
-        region = _Region(seed, troubles)
+        region = _Region(seed, faults)
         region.run(9.0)
         assert region.most <= region.SLOTS
 
@@ -263,11 +265,11 @@
         st.lists(_SLOW, max_size=3),
         st.lists(st.integers(0, _Region.INSTANCES - 1), min_size=1, max_size=3),
     )
-    def test_what_the_dead_hold_is_free_within_a_second(self, seed, troubles, dead):
+    def test_what_the_dead_hold_is_free_within_a_second(self, seed, faults, dead):
         at = 6.0
-        losses = [_Trouble("dead", instance, at, 99.0) for instance in dead]
-        region = _Region(seed, [*troubles, *losses])
-        region.run(at + MIN_OVERDUE_S + ANSWER_S + 2 * TICK_S)
+        losses = [_Fault("dead", instance, at, 99.0) for instance in dead]
+        region = _Region(seed, [*faults, *losses])
+        region.run(at + MIN_OVERDUE_S + ANSWER_TIMEOUT_S + 2 * TICK_S)
         assert region.most <= region.SLOTS
         held = {
             run.work.instance
--- a/tests/test_short_requests_in_overload.py
+++ b/tests/test_short_requests_in_overload.py
@@ -42,23 +42,23 @@
         floor = RankFloor(**options)
         for rank, taken, granted in ((0, 1.35, 38), (1, 0.9, 20), (2, seconds, 14)):
             for _ in range(40):
-                floor.asked(rank, 1.0, taken)
+                floor.record_request(rank, 1.0, taken)
             for _ in range(granted):
-                floor.granted(rank, 1.0)
+                floor.record_grant(rank, 1.0)
         return floor
 
     def test_they_are_owed_as_much_as_the_rank_above(self):
-        assert self._floor(0.1).owed(1.0) == [2]
+        assert self._floor(0.1).underserved(1.0) == [2]
 
     def test_long_ones_are_not(self):
-        assert self._floor(0.9).owed(1.0) == []
+        assert self._floor(0.9).underserved(1.0) == []
 
     def test_nor_any_where_it_is_off(self):
-        assert self._floor(0.1, spares_short=False).owed(1.0) == []
+        assert self._floor(0.1, protect_short=False).underserved(1.0) == []
 
     @pytest.mark.parametrize("granted", [20, 24, 40])
     def test_never_more_than_the_rank_above(self, granted):
         floor = self._floor(0.1)
         for _ in range(granted - 14):
-            floor.granted(2, 1.0)
-        assert floor.owed(1.0) == []
+            floor.record_grant(2, 1.0)
+        assert floor.underserved(1.0) == []
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -135,11 +135,11 @@
             elif step == 1:
                 target.remove(ask)
             else:
-                target.begin(ask)
+                target.mark_first_token(ask)
             at = now + 0.1
             runs = target.running.values()
             left = [max(0.0, r.prefill - (at - r.granted)) for r in runs if not r.began]
-            assert target.prefill_left(at) == sum(left)
+            assert target.remaining_prefill(at) == sum(left)
             assert target.cost(0.0) == pytest.approx(0.3 * sum(r.cost for r in runs))
 
 
--- a/tests/test_target_order.py
+++ b/tests/test_target_order.py
@@ -6,16 +6,16 @@
 
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
-from hibiscusstep.routing.slot_choice import SlotChoice
+from hibiscusstep.routing.slot_choice import TargetSelector
 from hibiscusstep.routing.slot_target import Run, SlotTarget
 from hibiscusstep.routing.slots import SlotDispatcher
 from hibiscusstep.routing.target_order import (
-    ELSEWHERE_WEIGHED,
-    FASTEST_LOOKED_AT,
-    NEAR_WEIGHED,
-    PANIC_SHARE,
-    USUAL_S,
-    TargetOrder,
+    MAX_FASTEST,
+    MAX_LOCAL_CANDIDATES,
+    MAX_REMOTE_CANDIDATES,
+    PANIC_THRESHOLD,
+    TYPICAL_REQUEST_S,
+    TargetIndex,
 )
 
 CENTRES = ("a", "b")
@@ -30,18 +30,18 @@
 def _apply(target, step, number, now):
     """Change a target as a dispatcher does."""
     match step:
-        case "grant" if target.room > 0:
+        case "grant" if target.unassigned_slots > 0:
             target.add(f"{number}", _run(now, 0.1 + number))
         case "end" if target.running:
             target.remove(next(iter(target.running)))
         case "fail":
-            target.failed(now)
+            target.record_failure(now)
         case "unreachable":
-            target.unreachable(now)
+            target.record_unreachable(now)
         case "reject":
-            target.rejected(now)
+            target.record_rejection(now)
         case "learn":
-            target.learn(0.2 * (1 + number % 40))
+            target.observe(0.2 * (1 + number % 40))
         case "leave":
             target.leaving = True
         case "grow":
@@ -60,7 +60,7 @@
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.lists(st.tuples(_STEPS, st.integers(0, TARGETS - 1)), max_size=60))
     def test_it_is_as_a_walk_over_all_would_find_it(self, steps):
-        order, now = TargetOrder(), 0.0
+        order, now = TargetIndex(), 0.0
         targets = {}
         for n in range(TARGETS):
             targets[n] = SlotTarget(f"t{n}", 2, data_centre=CENTRES[n % 2])
@@ -74,35 +74,35 @@
                 order.remove(targets.pop(which))
             else:
                 _apply(target, step, number, now)
-                order.changed(target, now)
+                order.update(target, now)
             self._check(order, targets.values(), now)
 
     def _check(self, order, targets, now):
         staying = [t for t in targets if not t.leaving]
         fit = [t for t in staying if t.usable(now)]
-        panics = len(fit) < PANIC_SHARE * len(staying)
+        panics = len(fit) < PANIC_THRESHOLD * len(staying)
         usable = staying if panics else fit
         assert order.usable(now) == usable
         assert order.slots(now) == sum(t.slots for t in usable)
-        free = [t for t in usable if t.free(now) > 0]
-        assert order.has_room(now) or not free
-        assert {t.name for t in order.free("a", now)} == {t.name for t in free}
+        free = [t for t in usable if t.available_slots(now) > 0]
+        assert order.has_free_slot(now) or not free
+        assert {t.name for t in order.candidates("a", now)} == {t.name for t in free}
         fastest = {t.slowness for t in order.fastest(now)}
         assert fastest == {t.slowness for t in usable}
 
     def test_of_many_the_cheapest_of_each_data_centre_are_weighed(self):
-        order = TargetOrder()
+        order = TargetIndex()
         for n in range(200):
             slowness = 0.5 + (n * 37 % 200) / 100
             target = SlotTarget(f"t{n}", 4, slowness=slowness)
             target.data_centre = CENTRES[n % 2]
             order.add(target, 0.0)
-        free = order.free("a", 0.0)
+        free = order.candidates("a", 0.0)
         near = [t for t in free if t.data_centre == "a"]
-        assert len(near) == NEAR_WEIGHED
-        assert len(free) == NEAR_WEIGHED + ELSEWHERE_WEIGHED
-        assert near == sorted(near, key=lambda t: t.cost(USUAL_S))
-        assert len(order.fastest(0.0)) == FASTEST_LOOKED_AT
+        assert len(near) == MAX_LOCAL_CANDIDATES
+        assert len(free) == MAX_LOCAL_CANDIDATES + MAX_REMOTE_CANDIDATES
+        assert near == sorted(near, key=lambda t: t.cost(TYPICAL_REQUEST_S))
+        assert len(order.fastest(0.0)) == MAX_FASTEST
 
 
 class TestCostOfADecision:
@@ -115,7 +115,11 @@
     @pytest.mark.parametrize("full", [False, True])
     def test_prices_are_bounded(self, monkeypatch, full):
         counted = [self._prices_of_an_ask(monkeypatch, n, full) for n in (60, 600)]
-        assert counted[0] == counted[1] <= 2 * (NEAR_WEIGHED + ELSEWHERE_WEIGHED)
+        assert (
+            counted[0]
+            == counted[1]
+            <= 2 * (MAX_LOCAL_CANDIDATES + MAX_REMOTE_CANDIDATES)
+        )
 
     def _prices_of_an_ask(self, monkeypatch, targets, full):
         plan = {
@@ -127,13 +131,13 @@
         for n in range(targets - 1 if full else targets // 2):
             dispatcher.handle(self._ask(f"a{n}"), 0.0)
         prices = []
-        price = SlotChoice._price
+        price = TargetSelector._price
 
         def count(choice, target, *rest):
             prices.append(target)
             return price(choice, target, *rest)
 
-        monkeypatch.setattr(SlotChoice, "_price", count)
+        monkeypatch.setattr(TargetSelector, "_price", count)
         assert dispatcher.handle(self._ask("last"), 0.0)
         monkeypatch.undo()
         return len(prices)
