--- a/hibiscusstep/routing/slot_choice.py
+++ b/hibiscusstep/routing/slot_choice.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.slot_choice: which free target a request goes to."""
+"""hibiscusstep.routing.slot_choice: selection of a target for a request."""
 
 import math
 
@@ -17,49 +17,52 @@
 
 __all__ = ["TargetSelector"]
 
-# A plain service's first guess; its targets' slowness against it is learnt.
+# Initial estimate for a request of a plain service. The slowness of each target is
+# learned relative to it.
 PLAIN_SERVICE_S = 0.05
-# Streams with fewer events tell too little of a target's pace.
+# Streams with fewer events say too little about the speed of a target.
 MIN_EVENTS = 6
-# Targets whose prices stand in the log with a grant.
+# Maximum number of targets whose costs are logged with a grant.
 MAX_LOGGED_COSTS = 6
-# Weight of a second by which a first token would be late, and seconds that a stream is
-# charged whose pauses would grow too long, from this part of the longest pause on.
+# Cost per second by which the first token would be late. Cost in seconds for each
+# running stream whose pauses would exceed this share of the longest allowed pause.
 LATENESS_WEIGHT = 5.0
 LONG_PAUSE_COST_S = 0.5
 MAX_PAUSE_SHARE = 0.85
-# Bytes between data centres are paid for: of targets that serve alike the near one is
-# taken. Six steps of an engine, so that a less busy target still goes first.
+# Traffic between data centres is paid for: among targets of equal cost the local one is
+# taken. The cost equals six engine steps, so a less busy remote target is still
+# preferred.
 REMOTE_COST_S = 0.02
-# A stream that can still be in time waits until so many times the seconds of its first
-# token are left: a target is seldom idle.
+# A stream that can still be in time waits until the remaining time is this multiple of
+# the seconds to its first token, since targets are seldom idle.
 FIRST_TOKEN_MARGIN = 1.5
-# An end that is not told by then is overdue at the soonest: less is spent on the way,
-# and on instances that are busy.
+# Minimum time after which a request counts as overdue. Messages and busy instances take
+# less than that to report an end.
 MIN_OVERDUE_S = 0.5
-# Slowness of a target that nothing is known of, where too little would do harm.
+# Assumed slowness of a target without observations, where too low a value would be
+# harmful.
 UNKNOWN_SLOWNESS = 4.0
 
 
 class TargetSelector:
-    """Weighs the targets of a pool for a request, by what was learnt of the pool.
+    """Selector of targets by estimated cost, with estimates learned for the pool.
 
     Parameters
     ----------
     switches : Switches
-        Which mechanisms are on.
+        The enabled mechanisms.
 
     Attributes
     ----------
     min_slowness : float
-        Slowness of the fastest target that may be used.
+        Slowness of the fastest usable target.
     mean_slowness : float
-        Slowness of the target that is free next, in the mean.
+        Mean slowness of the usable targets, weighted by their service rates.
     """
 
     def __init__(self, switches: Switches) -> None:
         self._switches = switches
-        self._engine_model = EngineModel()
+        self._model = EngineModel()
         self._answer_lengths = AnswerLengths()
         self._prefill_chunk = PrefillChunk()
         self._is_engine = True
@@ -70,66 +73,55 @@
         self.mean_slowness = 1.0
 
     def configure(self, pool: PlannedPool) -> None:
-        """Take what is configured for the pool."""
+        """Apply the pool's configuration."""
         self._is_engine = pool.engine
         self._tokens_per_event = pool.tokens_per_event
         self._max_pause = pool.max_pause
 
     def estimates(self, slowness: dict[str, float]) -> m.Learnt:
-        """Return what was learnt of the pool, beside the slowness of its targets."""
+        """Return the estimates for the pool, with the slowness of its targets."""
         share = self._prefill_chunk.most
         known = share if share != UNKNOWN_CHUNK_S else 0.0
-        return m.Learnt(
-            slowness,
-            self._engine_model.first,
-            self._engine_model.token,
-            known,
-        )
+        return m.Learnt(slowness, self._model.first, self._model.token, known)
 
     def import_estimates(self, imported: m.Learnt) -> None:
-        """Take over what others learnt, where nothing was learnt here."""
-        if imported.token and not self._engine_model.learnt:
-            self._engine_model.reset(imported.first, imported.token)
+        """Use another dispatcher's estimates where there are no observations."""
+        if imported.token and not self._model.learnt:
+            self._model.reset(imported.first, imported.token)
         if imported.share and self._prefill_chunk.most == UNKNOWN_CHUNK_S:
             self._prefill_chunk.most = imported.share
 
     def record_first_token(self, target: SlotTarget, run: Run, seconds: float) -> None:
-        """Learn from a first token that came `seconds` after the dispatch."""
+        """Update the estimates by a first token, `seconds` after the dispatch."""
         if not self._is_engine:
             return
         if not target.learnt:
             target.observe_first_token(seconds / run.expected_first)
         elif run.alone and self._switches.engine_model:
-            self._engine_model.observe(
-                run.work.prompt_tokens, seconds / target.slowness
-            )
+            self._model.observe(run.work.prompt_tokens, seconds / target.slowness)
 
     def prefill_seconds(self, work: m.Work) -> float:
-        """Return the guessed seconds of a prompt on a target of slowness 1."""
+        """Return the estimated prefill time of a prompt at slowness 1, in seconds."""
         return (
-            self._engine_model.prefill_seconds(work.prompt_tokens)
-            if self._is_engine
-            else 0.0
+            self._model.prefill_seconds(work.prompt_tokens) if self._is_engine else 0.0
         )
 
     def service_seconds(self, work: m.Work) -> float:
-        """Return the guessed seconds of a request on a target of slowness 1."""
+        """Return the estimated service time of a request at slowness 1, in seconds."""
         if not self._is_engine:
             return PLAIN_SERVICE_S
-        return self._engine_model.answer_seconds(work.prompt_tokens, work.output_tokens)
+        return self._model.answer_seconds(work.prompt_tokens, work.output_tokens)
 
     def first_token_seconds(self, work: m.Work) -> float:
-        """Return the guessed seconds to a first token on a target of slowness 1."""
+        """Return the estimated time to the first token at slowness 1, in seconds."""
         if not self._is_engine:
             return PLAIN_SERVICE_S
-        return self._engine_model.first + self._engine_model.prefill_seconds(
-            work.prompt_tokens
-        )
+        return self._model.first + self._model.prefill_seconds(work.prompt_tokens)
 
     def serve_time_bound(self, work: m.Work) -> float:
-        """Return the seconds in which most such requests are served, from their start.
+        """Return the seconds from the start within which most such requests are served.
 
-        That of a stream is its first token, of a plain service the whole run.
+        A stream is served at its first token, a request of a plain service at its end.
         """
         if self._is_engine or not self._switches.service_times:
             return (
@@ -148,7 +140,7 @@
         return max(MIN_OVERDUE_S, slowness * seconds)
 
     def time_ratio(self, run: Run, tokens: int, now: float) -> float:
-        """Return the seconds of a request against those on a target of slowness 1."""
+        """Return the ratio of a request's duration to the estimate at slowness 1."""
         if not self._is_engine:
             return (now - run.granted) / PLAIN_SERVICE_S
         steps = tokens * self._tokens_per_event
@@ -156,10 +148,10 @@
         return (now - run.granted) / max(STEP_S, expected)
 
     def running_time_ratio(self, run: Run, now: float) -> float:
-        """Return the same of a request that still runs, whose end is not known.
+        """Return the same ratio for a running request.
 
-        An answer may be longer than its caller told, so most of its likely length is
-        taken for expected.
+        The length of the answer is not known yet and may exceed the caller's hint, so
+        the estimate uses a length that four of five answers do not exceed.
         """
         if not self._is_engine:
             return (now - run.granted) / PLAIN_SERVICE_S
@@ -170,15 +162,15 @@
     def record_answer(
         self, target: SlotTarget, run: Run, finished: m.Finished, now: float
     ) -> None:
-        """Learn from a whole answer."""
+        """Update the estimates by a complete answer."""
         target.record_success()
         if not self._is_engine:
             ratio = (now - run.granted) / run.cost
             self._service_times.observe(ratio / target.slowness)
             target.observe(ratio)
         elif finished.tokens >= MIN_EVENTS:
-            # The pace of events tells the speed; the rest of an answer's time tells
-            # more of what else the target has to do.
+            # The rate of events measures the speed of the target. The rest of the
+            # answer's time depends more on the target's other requests.
             steps = (finished.tokens - 1) * self._tokens_per_event
             target.observe(finished.decode_seconds / (steps * STEP_S))
             if finished.longest_pause and self._switches.reading_share:
@@ -190,7 +182,7 @@
             self._answer_lengths.observe(run.work.output_tokens, tokens)
 
     def candidate_costs(self, work: m.Work, free, now: float) -> dict[str, float]:
-        """Return the prices of some free targets, for the log."""
+        """Return the costs of some available targets, for the log."""
         own = self.service_seconds(work)
         return {
             t.name: round(self._price(t, work, own, now), 3)
@@ -198,7 +190,7 @@
         }
 
     def choose(self, work: m.Work, free, usable, now: float) -> SlotTarget | None:
-        """Return the best of the free targets; None if another is worth the wait."""
+        """Return the best available target; None if another is worth waiting for."""
         own = self.service_seconds(work)
         others = [target for target in free if target.name not in work.avoid] or free
         if not self._is_engine:
@@ -214,12 +206,12 @@
     def _choose_when_late(
         self, work: m.Work, free, best: SlotTarget, now: float
     ) -> SlotTarget | None:
-        """Return the target for a request that is in time nowhere.
+        """Return the target for a request that no target serves in time.
 
-        It waits for one where it does not hold up the streams that run there: a prompt
-        of 54,600 tokens on a slow target made all ten of them late.
+        It waits for a target where it does not delay running streams: a prompt of
+        54,600 tokens on a slow target made all of its ten streams late.
         """
-        prefill = self._engine_model.prefill_seconds(work.prompt_tokens)
+        prefill = self._model.prefill_seconds(work.prompt_tokens)
         unaffected = [
             target
             for target in free
@@ -229,28 +221,25 @@
         if unaffected:
             own = self.service_seconds(work)
             return min(unaffected, key=lambda t: self._price(t, work, own, now))
-        # Where even the fastest target would hold up its streams, none is waited for.
+        # If even the fastest target would delay its streams, waiting does not help.
         pause = self.min_slowness * self._pause_seconds(prefill)
         return None if pause <= MAX_PAUSE_SHARE * self._max_pause else best
 
     def _serves_in_time(self, targets, work: m.Work, now: float) -> bool:
-        """Whether one of some targets serves a request well.
+        """Return whether at least one of the targets serves a request in time.
 
-        Its first token would be on time, its end too, and the pauses of the streams
-        that run there. Most of a decision's time goes here, so nothing is called in the
-        loop that can be reckoned before it.
+        That requires a first token and an end in time, and no overlong pauses of the
+        streams that run at the target. Most of a decision's time is spent here, so
+        values that do not depend on the target are computed before the loop.
         """
-        prefill = self._engine_model.prefill_seconds(work.prompt_tokens)
-        reading = prefill + self._engine_model.first
+        prefill = self._model.prefill_seconds(work.prompt_tokens)
+        reading = prefill + self._model.first
         due = work.due or math.inf
         ends, decoding = math.inf, 0.0
         if work.ends and self._switches.answer_end:
             ends = work.ends
             decoding = self._answer_lengths.upper_bound(work.output_tokens) * STEP_S
-        steps, max_prefill = (
-            self._tokens_per_event * STEP_S,
-            self._prefill_chunk.most,
-        )
+        steps, max_prefill = (self._tokens_per_event * STEP_S, self._prefill_chunk.most)
         longest = MAX_PAUSE_SHARE * self._max_pause
         for target in targets:
             slowness, left = target.slowness, target.remaining_prefill(now)
@@ -263,28 +252,26 @@
         return False
 
     def _delays_streams(self, target: SlotTarget, prefill_seconds: float) -> bool:
-        """Whether prompts make the pauses of the streams at a target too long."""
+        """Return whether prefill makes the pauses of a target's streams too long."""
         pause = target.slowness * self._pause_seconds(prefill_seconds)
         return pause > MAX_PAUSE_SHARE * self._max_pause
 
     def _pause_seconds(self, prefill_seconds: float) -> float:
-        """Return the guessed seconds between events at slowness 1 beside prompts."""
+        """Return the estimated seconds between events at slowness 1 during prefill."""
         steps = self._tokens_per_event * STEP_S
         return steps + self._prefill_chunk.between_events(prefill_seconds)
 
     def _price(self, target: SlotTarget, work: m.Work, own: float, now: float) -> float:
-        """Return the weighed seconds of a request, and of what it does to others."""
-        prefill_seconds = target.remaining_prefill(
-            now
-        ) + self._engine_model.prefill_seconds(work.prompt_tokens)
+        """Return the cost of a request at a target, with its effect on others."""
+        prefill_seconds = target.remaining_prefill(now) + self._model.prefill_seconds(
+            work.prompt_tokens
+        )
         price = target.cost(own)
         if target.data_centre != work.data_centre:
             price += REMOTE_COST_S
         if work.due:
             late = (
-                now
-                + target.slowness * (prefill_seconds + self._engine_model.first)
-                - work.due
+                now + target.slowness * (prefill_seconds + self._model.first) - work.due
             )
             if late > 0:
                 price += LATENESS_WEIGHT * late
--- a/hibiscusstep/routing/slot_queue.py
+++ b/hibiscusstep/routing/slot_queue.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.slot_queue: requests that wait for a slot, in order."""
+"""hibiscusstep.routing.slot_queue: the queue of requests that wait for a slot."""
 
 import heapq
 import itertools
@@ -13,13 +13,14 @@
 
 __all__ = ["RefusedRequests", "SlotQueue"]
 
-# Callers come back within some seconds or not at all: each patience is below this.
+# Callers retry within a few seconds or not at all: their maximum waiting time is below
+# this.
 REFUSAL_MEMORY_S = 20.0
 
 
 @dataclass(frozen=True, slots=True)
 class _QueuedRequest:
-    """A waiting request: its place in the order, its guessed seconds, until when."""
+    """A queued request with its sort key, estimated seconds and deadline."""
 
     entry: tuple[int, bool, float, int, Work]
     cost: float
@@ -27,9 +28,9 @@
 
 
 class SlotQueue:
-    """By rank, within it first come, first served, those that are late already last.
+    """Queue by rank; within a rank late requests last, then by time of arrival.
 
-    No operation costs more than a few steps however many wait.
+    The cost of an operation hardly grows with the number of queued requests.
     """
 
     def __init__(self) -> None:
@@ -40,67 +41,67 @@
         self._sequence = itertools.count()
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of queued requests."""
         return len(self._order)
 
     def __contains__(self, ask: str) -> bool:
-        """Whether an ask waits."""
+        """Return whether a request is queued."""
         return ask in self._by_ask
 
     def __iter__(self) -> Iterator[Work]:
-        """Iterate over those that wait, in order."""
+        """Iterate over the queued requests in order."""
         return (entry[-1] for entry in self._order)
 
     def __getitem__(self, place: int) -> Work:
-        """Return the request at a place of the order."""
+        """Return the request at a position of the queue."""
         return self._order[place][-1]
 
     def get(self, ask: str) -> Work | None:
-        """Return a waiting request; None if it does not wait."""
+        """Return a queued request; None if it is not queued."""
         queued = self._by_ask.get(ask)
         return queued.entry[-1] if queued else None
 
     def first_of_rank(self, rank: int) -> Work | None:
-        """Return the request of a rank that comes first; None if none waits."""
+        """Return the first request of a rank; None if there is none."""
         place = self._order.bisect_left((rank,))
         if place == len(self._order) or self._order[place][0] != rank:
             return None
         return self._order[place][-1]
 
     def priority_classes(self) -> list[tuple[int, bool]]:
-        """Return the classes (rank, whether late) that were seen, the last first."""
+        """Return the classes (rank, whether late) used so far, the last first."""
         return sorted(self._backlog, reverse=True)
 
     def last_of_class(self, place: tuple[int, bool]) -> Work | None:
-        """Return the request of a class that comes last; None if none waits."""
+        """Return the last request of a class; None if there is none."""
         after = self._order.bisect_left((*place, math.inf))
         if not after or self._order[after - 1][:2] != place:
             return None
         return self._order[after - 1][-1]
 
     def position_in_rank(self, ask: str) -> int:
-        """Return how many of its rank go before a waiting request."""
+        """Return the number of requests of the same rank before a queued request."""
         entry = self._by_ask[ask].entry
         return self._order.bisect_left(entry) - self._order.bisect_left(entry[:1])
 
     @property
     def count_by_tier(self) -> dict[str, int]:
-        """How many wait, by tier."""
+        """Number of queued requests by tier."""
         return dict(Counter(work.tier for work in self))
 
     def add(self, work: Work, cost: float, deadline: float, late: bool) -> None:
-        """Take a request.
+        """Add a request.
 
         Parameters
         ----------
         work : Work
             The request.
         cost : float
-            Its guessed seconds.
+            Its estimated service time in seconds, at slowness 1.
         deadline : float
-            Until when it waits, on the dispatcher's clock.
+            When it expires, on the dispatcher's clock.
         late : bool
-            Whether it can't be served in time any more.
+            Whether it can no longer be served in time.
         """
         number = next(self._sequence)
         entry = (work.rank, late, work.received, number, work)
@@ -110,7 +111,7 @@
         heapq.heappush(self._deadlines, (deadline, number, work.ask))
 
     def remove(self, ask: str) -> Work | None:
-        """Take a request out; None if it does not wait."""
+        """Remove and return a request; None if it is not queued."""
         queued = self._by_ask.pop(ask, None)
         if queued is None:
             return None
@@ -119,10 +120,10 @@
         return queued.entry[-1]
 
     def seconds_ahead(self, ask: str) -> float:
-        """Return the guessed seconds of all that go before a waiting request.
+        """Return the estimated seconds of the requests before a queued request.
 
-        Those are all of its class (rank, and whether late) and of those before: few
-        come after it in its class.
+        All other requests of its class (rank, and whether late) and of the classes
+        before count, since few requests of its class are behind it.
         """
         queued = self._by_ask[ask]
         own = queued.entry[:2]
@@ -130,11 +131,11 @@
         return max(0.0, total - queued.cost)
 
     def deadline(self, ask: str) -> float:
-        """Return until when a waiting request waits."""
+        """Return when a queued request expires, on the dispatcher's clock."""
         return self._by_ask[ask].deadline
 
     def expired(self, now: float) -> Iterator[Work]:
-        """Yield those whose deadline has passed; the caller removes each."""
+        """Yield the requests whose deadline has passed; the caller removes each."""
         while self._deadlines and self._deadlines[0][0] <= now:
             _deadline, number, ask = heapq.heappop(self._deadlines)
             queued = self._by_ask.get(ask)
@@ -143,27 +144,27 @@
 
 
 class RefusedRequests:
-    """Recognizes requests that come back after a refusal, at whichever instance.
+    """Recently refused requests, to recognize retries that reach any instance.
 
-    A caller's attempts have ids of their own, and its objective counts from the first.
-    Of the served answers of a burst one in five was late because its request had been
-    refused before; it took the slot of one that could be served in time.
+    Each attempt of a caller has its own id, but the caller's objective counts from the
+    first attempt. In a burst, one in five served answers was late because its request
+    had been refused before; it took the slot of a request that could be served in time.
     """
 
     def __init__(self) -> None:
         self._first_received: OrderedDict[int, float] = OrderedDict()
 
     def was_refused(self, work: Work) -> bool:
-        """Whether a request was refused before, by its caller's identity."""
+        """Return whether a request was refused before, by its caller's identity."""
         return work.identity in self._first_received
 
     def record(self, work: Work) -> None:
-        """Remember a refused request, from its first attempt on."""
+        """Record a refused request with the time of its first attempt."""
         if work.identity:
             self._first_received.setdefault(work.identity, work.received)
 
     def with_original_due(self, work: Work, now: float) -> Work:
-        """Return the request; due as its first attempt was, if it comes back."""
+        """Return the request; a retry with the due time of its first attempt."""
         while self._first_received:
             identity, received = next(iter(self._first_received.items()))
             if received > now - REFUSAL_MEMORY_S:
--- a/hibiscusstep/routing/slot_target.py
+++ b/hibiscusstep/routing/slot_target.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.slot_target: one target with slots, learnt from its answers."""
+"""hibiscusstep.routing.slot_target: state and learned speed of a target with slots."""
 
 from dataclasses import dataclass, field
 
@@ -6,31 +6,31 @@
 
 __all__ = ["Run", "SlotTarget"]
 
-# Weight of a new observation, once there are enough.
+# Minimum weight of a new observation; the first ones weigh more.
 LEARNING_RATE = 0.1
 MIN_SLOWNESS, MAX_SLOWNESS = 0.1, 12.0
-# What the beginning of one answer may say: it holds a connection's time too.
+# Bounds of the ratio observed at a first token, which includes the time to connect.
 MIN_FIRST_TOKEN_RATIO, MAX_FIRST_TOKEN_RATIO = 0.5, 4.0
 FIRST_TOKEN_LEARNING_RATE = 0.5
-# Weight of the work that runs at a target against the request's own; 0.6 measured the
-# same.
+# Weight of the requests that run at a target relative to the new request; 0.6 gave the
+# same results.
 RUNNING_WEIGHT = 0.3
-# A target that cannot be reached or mostly fails rests, longer each time in a row
-# (seconds, doubled); one that is full is asked again sooner.
+# Backoff of a target that is unreachable or mostly fails; it doubles with each backoff
+# in a row. A target that rejected a request since it is full is tried again sooner.
 INITIAL_BACKOFF_S = 0.5
 REJECTED_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 4.0
-# A target whose share of failures is above this would draw all work, since a failure
-# leaves its slot sooner than an answer: reached by four failures in a row, or by some
-# more of which a few are answers.
+# A target with a share of failures above this would attract all requests, since a
+# failure frees its slot sooner than an answer. Four failures in a row reach it, or a
+# few more with some answers between.
 MAX_FAILURE_SHARE = 0.6
-# Weight of a request's end in the share that fail; a target that fails always costs
-# this many times more.
+# Weight of a new outcome in the share of failures, and the additional cost factor of a
+# target that always fails.
 FAILURE_LEARNING_RATE = 0.25
 FAILURE_COST_FACTOR = 3.0
-# From this part of its slots on, a target is loaded.
+# A target counts as loaded if at least this share of its slots is taken.
 LOADED_SHARE = 0.7
-# Seconds for which the load that a target reported counts.
+# Validity of the load that a target reported.
 EXTERNAL_LOAD_TTL_S = 1.0
 
 
@@ -43,19 +43,19 @@
     work : Work
         The request.
     granted : float
-        When, on the dispatcher's clock.
+        When it was granted, on the dispatcher's clock.
     cost, prefill : float
-        The guessed seconds of it, and of its prompt alone.
+        Estimated seconds of the request, and of its prefill, at slowness 1.
     began : bool
-        Whether its first token came.
+        Whether its first token has arrived.
     alone : bool
-        Whether no other prompt was read at the target meanwhile.
+        Whether no other prefill ran at the target before its first token.
     expected_first : float
-        The guessed seconds to its first token at slowness 1.
+        Estimated seconds to its first token at slowness 1.
     beside : float
-        The most guessed seconds of prompts that were to be read while it ran.
+        Maximum estimated seconds of prefill pending at the target while it ran.
     adopted : bool
-        Whether it was granted by another dispatcher, some time before `granted`.
+        Whether another dispatcher granted it, some time before `granted`.
     loaded : bool
         Whether most of the target's slots were taken when it was granted.
     """
@@ -74,32 +74,35 @@
 
 @dataclass(slots=True, eq=False)
 class SlotTarget:
-    """One target as the dispatcher knows it.
+    """State of a target as the dispatcher knows it.
 
     Parameters
     ----------
     name : str
         The target.
     slots : int
-        Requests that it works on at once.
+        Number of requests that it serves at the same time.
     leaving : bool
-        Whether it takes no new work.
+        Whether it accepts no new requests.
     slowness : float
-        Seconds that work takes against the first guess, learnt.
+        Learned ratio of service times to the initial estimates.
     learnt : int
-        Answers that it was learnt from.
+        Number of observations of the slowness.
     failing : float
-        Share of requests that failed lately, learnt.
+        Learned share of recent requests that failed.
     rests : int
-        Times that it rested since its last answer.
+        Number of backoffs since the last complete answer.
     rest_until : float
-        When it may be tried again after a failure.
+        End of the backoff, on the dispatcher's clock.
     foreign : int
-        Requests there that this dispatcher did not grant, by the last report.
+        Requests at the target that this dispatcher did not grant, by the last load
+        report.
+    foreign_at : float
+        When the last load report arrived, on the dispatcher's clock.
     data_centre : str
         Where it runs.
     version : str
-        Of its software.
+        Version of its software.
     """
 
     name: str
@@ -120,7 +123,7 @@
     _prefill_at: float = -1.0
 
     def add(self, ask: str, run: Run) -> None:
-        """Take note of a request that was granted."""
+        """Add a granted request."""
         reading = [other for other in self.running.values() if not other.began]
         for other in reading:
             other.alone = False
@@ -133,13 +136,13 @@
         self._invalidate()
 
     def remove(self, ask: str) -> Run | None:
-        """Take note of a request's end; None if it was not here."""
+        """Remove and return a request; None if it does not run here."""
         run = self.running.pop(ask, None)
         self._invalidate()
         return run
 
     def mark_first_token(self, ask: str) -> Run | None:
-        """Take note that a request's prompt has been read; None if it is not here."""
+        """Mark a request's prefill as done; None if it does not run here."""
         run = self.running.get(ask)
         if run:
             run.began = True
@@ -151,24 +154,25 @@
         self._prefill_at = -1.0
 
     def usable(self, now: float) -> bool:
-        """Whether new work may go there."""
+        """Return whether the target may be granted new requests."""
         return not self.leaving and now >= self.rest_until
 
     @property
     def unassigned_slots(self) -> int:
-        """Slots that the requests granted to it leave."""
-        # One that mostly failed is tried with one request at a time.
+        """Number of slots that are not taken by granted requests."""
+        # A target that mostly failed is tried with one request at a time.
         return (1 if self._is_failing else self.slots) - len(self.running)
 
     def available_slots(self, now: float) -> int:
-        """Return how many more requests it can work on."""
+        """Return the number of further requests that the target can serve."""
         foreign = self.foreign if now - self.foreign_at < EXTERNAL_LOAD_TTL_S else 0
         return self.unassigned_slots - foreign
 
     def remaining_prefill(self, now: float) -> float:
-        """Return the guessed seconds of prompts that it has still to read.
+        """Return the estimated seconds of pending prefill at slowness 1.
 
-        Reckoned once a moment: a dispatcher weighs many requests for a target at once.
+        The value is cached for the current time, since a dispatcher evaluates many
+        requests for a target at once.
         """
         if now != self._prefill_at:
             self._prefill_at = now
@@ -180,40 +184,40 @@
         return self._prefill_left
 
     def cost(self, own: float) -> float:
-        """Return the weighed seconds for a request of `own` guessed seconds."""
+        """Return the weighted seconds of a request of `own` estimated seconds."""
         spent = self.slowness * (own + RUNNING_WEIGHT * self._ahead)
         return spent * (1 + FAILURE_COST_FACTOR * self.failing)
 
     def record_success(self) -> None:
-        """Take note of a whole answer."""
+        """Record a complete answer."""
         self.rests = 0
         self.failing *= 1 - FAILURE_LEARNING_RATE
 
     def observe_first_token(self, ratio: float) -> None:
-        """Take an answer's beginning for the speed until an answer is whole."""
+        """Update the slowness by a first token, for use until an answer is complete."""
         ratio = min(MAX_FIRST_TOKEN_RATIO, max(MIN_FIRST_TOKEN_RATIO, ratio))
         self.slowness += FIRST_TOKEN_LEARNING_RATE * (ratio - self.slowness)
 
     def observe(self, ratio: float) -> None:
-        """Learn from seconds that work took against the guess."""
+        """Update the slowness by a ratio of observed to estimated seconds."""
         ratio = min(MAX_SLOWNESS, max(MIN_SLOWNESS, ratio))
         self.learnt += 1
         weight = max(LEARNING_RATE, 1 / (1 + self.learnt))
         self.slowness += weight * (ratio - self.slowness)
 
     def record_failure(self, now: float) -> None:
-        """Take note of a failure; a target that mostly fails rests."""
+        """Record a failure; a target that mostly fails backs off."""
         self.failing += FAILURE_LEARNING_RATE * (1 - self.failing)
         if self._is_failing:
             self._back_off(now, INITIAL_BACKOFF_S)
 
     def record_unreachable(self, now: float) -> None:
-        """Take note that the target could not be reached; it rests."""
+        """Record that the target was unreachable and back off."""
         self.failing += FAILURE_LEARNING_RATE * (1 - self.failing)
         self._back_off(now, INITIAL_BACKOFF_S)
 
     def record_rejection(self, now: float) -> None:
-        """Take note that the target did not take a request; it rests shortly."""
+        """Record that the target rejected a request and back off for a short time."""
         self._back_off(now, REJECTED_BACKOFF_S)
 
     @property
@@ -227,7 +231,7 @@
             self.rest_until = now + min(MAX_BACKOFF_S, backoff)
 
     def summary(self, now: float) -> str:
-        """Return the state in a few words, for the log."""
+        """Return the state as a short text for the log."""
         parts = [
             f"{len(self.running)}/{self.slots}",
             f"x{self.slowness:.2f}",
--- a/hibiscusstep/routing/slots.py
+++ b/hibiscusstep/routing/slots.py
@@ -1,7 +1,8 @@
-"""hibiscusstep.routing.slots: dispatches to targets with a fixed number of slots.
+"""hibiscusstep.routing.slots: the dispatcher for targets with a fixed number of slots.
 
-Targets of this kind admit work in order of arrival and know no priorities, so work
-waits here: never more is granted to a target than it has slots.
+These targets serve requests in order of arrival and know no priorities. Requests
+therefore queue at the dispatcher, which never grants a target more requests than it has
+slots.
 """
 
 import math
@@ -27,20 +28,20 @@
 
 __all__ = ["SlotDispatcher"]
 
-# So many of the waiting requests are weighed for the free targets at a time.
+# Maximum number of queued requests that are examined in one scheduling pass.
 MAX_EXAMINED = 8
-# At the most, where some of them may go to few targets only.
+# The same limit if some of the requests may run only on certain targets.
 MAX_EXAMINED_RESTRICTED = 64
-# A grant is on its way to its instance for less than this.
+# Maximum time in which a grant reaches its instance.
 MAX_GRANT_TRANSIT_S = 0.7
-# How fast all targets work together changes slowly against this.
+# The overall service rate changes slowly compared with this interval.
 RATE_UPDATE_INTERVAL_S = 0.05
 
 
-# What makes a wait longer, or shows that one was too long.
+# Messages that may lengthen the wait of queued requests or let their deadlines pass.
 _EXPIRY_TRIGGERS = (m.Ask, m.Tick, m.Recovered, m.Configure)
-# After these a target may be good for a request that waits; all that is only a matter
-# of time is looked at with each tick.
+# Messages after which a target may become available for a queued request. Changes that
+# depend only on time are handled with each tick.
 _GRANT_TRIGGERS = (
     m.Finished,
     m.Held,
@@ -53,24 +54,26 @@
 
 
 class SlotDispatcher(PoolDispatcher):
-    """The highest rank first, within it first come, first served.
+    """Dispatcher that serves requests by rank, then in order of arrival within a rank.
 
-    A rank that was granted much less often than all lately goes first until it is not.
+    A rank whose recent share of granted requests is far below the overall share is
+    served first until it has caught up.
 
-    Within a rank, who came back after a refusal and is late already goes behind those
-    that can still be served in time. A request that cannot be granted by its deadline
-    is refused as soon as that is expected.
+    Within a rank, a request that can no longer be served in time, such as a retry after
+    a refusal, is placed behind those that can. A request is refused as soon as it is
+    expected not to be granted by its deadline.
 
     Parameters
     ----------
     pool_name : str
         The pool.
     plan : Plan
-        The targets.
-    switches : Switches
-        Which mechanisms are on.
+        The targets of the pool.
     alone : str
-        Name of the instance that dispatches for itself; empty if it does for all.
+        Name of the instance if the dispatcher serves only this one; empty if it serves
+        all instances.
+    switches : Switches
+        The enabled mechanisms.
     """
 
     def __init__(
@@ -94,12 +97,13 @@
         self._selector = TargetSelector(switches)
         self._grant_monitor = GrantMonitor()
         self._lost_requests = LostRequests()
-        # Slowness of targets by others, also of those that are not known here yet.
+        # Slowness by target, learned by other dispatchers. It includes targets that are
+        # not in the plan yet.
         self._imported_slowness: dict[str, float] = {}
         self._service_rate = 0.0
         self._service_rate_updated_at = -math.inf
-        self._version_partition = VersionPartition(self._selector, bool(alone))
-        # Looked up for each message: a dispatching decorator costs 7 us each time.
+        self._partition = VersionPartition(self._selector, bool(alone))
+        # A dict lookup: functools.singledispatchmethod costs 7 us per message.
         self._handlers = {
             m.Ask: self._enqueue,
             m.Withdraw: self._withdraw,
@@ -119,12 +123,12 @@
 
     @property
     def waiting(self) -> dict[str, int]:
-        """How many wait, by rank."""
+        """Number of queued requests by tier."""
         return self._queue.count_by_tier
 
     @property
     def learnt(self) -> m.Learnt | None:
-        """The slowness of targets and the engines' figures; None if nothing is."""
+        """Slowness of the targets and engine estimates; None before any observation."""
         slowness = {name: t.slowness for name, t in self._targets.items() if t.learnt}
         if not slowness:
             return None
@@ -132,29 +136,29 @@
 
     @property
     def overdue(self) -> int:
-        """Slots held for requests beyond their expected end."""
+        """Number of slots held by requests beyond their expected end."""
         return self._grant_monitor.overdue
 
     @property
     def is_alone(self) -> bool:
-        """Whether it dispatches for one instance only."""
+        """Whether the dispatcher serves a single instance."""
         return self._standalone_name != ""
 
     @property
     def rollout(self) -> Rollout | None:
-        """The order to another version that is being carried out."""
-        return self._version_partition.rollout
+        """The rollout in progress; None if there is none."""
+        return self._partition.rollout
 
     def instances_waiting(self) -> set[str]:
-        """Return the instances that want to hear that they are not forgotten."""
+        """Return the instances with queued requests."""
         return {work.instance for work in self._queue}
 
     def is_waiting(self, ask: str) -> bool:
-        """Whether an ask is still undecided."""
+        """Return whether a request is queued."""
         return ask in self._queue
 
     def summary(self, now: float) -> dict:
-        """Return the state in short: of each target, what runs and what was learnt."""
+        """Return a short summary of the queue and of each target's state."""
         targets = {name: target.summary(now) for name, target in self._targets.items()}
         shares = self._rank_floor.grant_shares(now)
         granted = {str(rank): round(shares[rank], 2) for rank in sorted(shares)}
@@ -177,7 +181,7 @@
     def _take(self, message, now: float) -> None:
         handler = self._handlers.get(type(message))
         if handler is None:
-            raise TypeError(f"no dispatcher message: {message!r}")
+            raise TypeError(f"unknown dispatcher message: {message!r}")
         handler(message, now)
 
     def _enqueue(self, message: m.Ask, now: float) -> None:
@@ -191,7 +195,7 @@
             )
         if self._switches.late_last:
             work = self._refused_requests.with_original_due(work, now)
-        # Seconds until it is served where nothing else is to do.
+        # Seconds until the request would be served at an idle target.
         reach_seconds = (
             self._selector.min_slowness * self._selector.first_token_seconds(work)
         )
@@ -208,7 +212,7 @@
         run = target.mark_first_token(message.ask) if target else None
         if run is not None:
             self._selector.record_first_token(target, run, message.seconds)
-            self._version_partition.update(target, now)
+            self._partition.update(target, now)
 
     def _finished(self, message: m.Finished, now: float) -> None:
         self._grant_monitor.forget(message.ask)
@@ -217,7 +221,7 @@
         run = target.remove(message.ask) if target else None
         if run is None:
             return
-        self._version_partition.record_end(target, run, message, now)
+        self._partition.record_end(target, run, message, now)
         match message.outcome:
             case m.Outcome.DONE:
                 self._selector.record_answer(target, run, message, now)
@@ -231,7 +235,7 @@
                 target.leaving = True
         if message.outcome is not m.Outcome.DONE:
             self._subset_updated_at = -math.inf
-        self._version_partition.update(target, now)
+        self._partition.update(target, now)
 
     def _reconcile_held(self, message: m.Held, now: float) -> None:
         self._grant_monitor.confirm_held(message.asks, now)
@@ -253,11 +257,11 @@
         self._imported_slowness |= message.slowness
         for target in self._targets.values():
             self._apply_imported_slowness(target)
-            self._version_partition.update(target, now)
+            self._partition.update(target, now)
         self._selector.import_estimates(message)
 
     def _apply_imported_slowness(self, target: SlotTarget) -> None:
-        """Take over what others learnt of a target."""
+        """Set the slowness of a target to the value that another dispatcher learned."""
         slowness = self._imported_slowness.get(target.name)
         if slowness is not None:
             target.slowness = slowness
@@ -289,10 +293,8 @@
         self._configure(message.configuration, now)
 
     def _tick(self, message: m.Tick, now: float) -> None:
-        """Ask for what should have ended, and free what was asked for in vain."""
-        if self._recovered and (
-            conclusion := self._version_partition.tick(self._targets, now)
-        ):
+        """Advance the rollout, inquire about overdue grants and release lost ones."""
+        if self._recovered and (conclusion := self._partition.tick(self._targets, now)):
             self._decisions.append(conclusion)
         if not self._switches.ask_overdue:
             return
@@ -307,12 +309,12 @@
             self._decisions.append(lost)
 
     def _ignore(self, message: m.Doubt, now: float) -> None:
-        """Take note of nothing: refusals here do not depend on what others serve."""
+        """Ignore the message; refusals do not depend on other dispatchers."""
 
     def _configure(self, plan: Plan, now: float) -> None:
         pool = plan.pools.get(self._pool_name, PlannedPool(True))
         self._selector.configure(pool)
-        self._version_partition.configure(pool)
+        self._partition.configure(pool)
         self._service_rate_updated_at = -math.inf
         self._subset_updated_at = -math.inf
         for name, planned in pool.targets.items():
@@ -325,16 +327,16 @@
                 self._apply_imported_slowness(target)
             target.slots = planned.slots
             target.leaving |= planned.leaving
-            self._version_partition.assign(target, now)
+            self._partition.assign(target, now)
         for name in self._targets.keys() - pool.targets.keys():
             gone = self._targets.pop(name)
-            self._version_partition.remove(gone)
+            self._partition.remove(gone)
             for ask in gone.running:
                 self._placed.pop(ask, None)
                 self._grant_monitor.forget(ask)
 
     def _schedule(self, now: float) -> None:
-        """Grant what can be granted, in order; some may wait for a better target."""
+        """Grant queued requests in order; some may wait for a better target."""
         if not self._queue:
             return
         while self._has_free_slot(now) and self._try_underserved(now):
@@ -345,11 +347,12 @@
             if not self._try_grant(work, now):
                 skipped += 1
                 if work.suspect or work.resting:
-                    # What may not go where there is room holds up nobody behind it.
+                    # A request that may not run on the available targets does not block
+                    # those behind it.
                     limit = min(MAX_EXAMINED_RESTRICTED, limit + 1)
 
     def _try_underserved(self, now: float) -> bool:
-        """Grant a request of a rank that is owed one; whether one was granted."""
+        """Grant a request of an underserved rank; return whether one was granted."""
         if not self._switches.rank_floor:
             return False
         first = (
@@ -359,19 +362,19 @@
         return any(work and self._try_grant(work, now) for work in first)
 
     def _schedule_new(self, ask: str, now: float) -> None:
-        """Grant a new request if it can be: the others have been weighed already."""
+        """Grant a new request if possible; the others were examined before."""
         work = self._queue.get(ask)
         if work is not None and self._has_free_slot(now):
             self._try_grant(work, now)
 
     def _has_free_slot(self, now: float) -> bool:
-        """Whether a slot may be free, and its part of all slots is not taken."""
-        limit = math.ceil(self.share * self._version_partition.slots(now))
-        return len(self._placed) < limit and self._version_partition.has_free_slot(now)
+        """Return whether a slot may be free within this dispatcher's share."""
+        limit = math.ceil(self.share * self._partition.slots(now))
+        return len(self._placed) < limit and self._partition.has_free_slot(now)
 
     def _try_grant(self, work: m.Work, now: float) -> bool:
-        """Grant a request if one of the free targets is good for it."""
-        if canary := self._version_partition.choose_canary(work, now):
+        """Grant a request if an available target suits it; return whether it was."""
+        if canary := self._partition.choose_canary(work, now):
             self._grant(work, canary, [canary], now)
             return True
         free, worth_waiting = self._candidates(work, now)
@@ -381,7 +384,7 @@
         if not free:
             return False
         target = self._selector.choose(work, free, worth_waiting, now)
-        if target is None or not self._version_partition.may_serve(work, target, now):
+        if target is None or not self._partition.may_serve(work, target, now):
             return False
         self._grant(work, target, free, now)
         return True
@@ -389,14 +392,14 @@
     def _candidates(
         self, work: m.Work, now: float
     ) -> tuple[list[SlotTarget], list[SlotTarget]]:
-        """Return free targets for a request, and those that it may rather wait for."""
+        """Return the available targets for a request, and those worth waiting for."""
         if self._target_subset is None:
-            order = self._version_partition.serving
+            order = self._partition.serving
             return order.candidates(work.data_centre, now), order.fastest(now)
         if now >= self._subset_updated_at + RATE_UPDATE_INTERVAL_S:
             self._subset_updated_at = now
             self._subset_targets = self._target_subset.choose(
-                self._version_partition.serving.usable(now), self.share
+                self._partition.serving.usable(now), self.share
             )
         return [
             target for target in self._subset_targets if target.available_slots(now) > 0
@@ -405,7 +408,7 @@
     def _grant(self, work: m.Work, target: SlotTarget, free, now: float) -> None:
         self._queue.remove(work.ask)
         self.counts.granted += 1
-        self._version_partition.record_grant(target)
+        self._partition.record_grant(target)
         self._rank_floor.record_grant(work.rank, now)
         costs = self._selector.candidate_costs(work, free, now)
         self._start(target, work, now)
@@ -421,17 +424,17 @@
             now
         ) + selector.first_token_seconds(work)
         target.add(work.ask, run)
-        self._version_partition.update(target, now)
+        self._partition.update(target, now)
         self._placed[work.ask] = target.name
         expected_end = now + selector.duration_bound(target, work, now)
         self._grant_monitor.register(work.ask, work.instance, expected_end)
 
     def _expire(self, now: float) -> None:
-        """Refuse what is overdue, and what is expected to be.
+        """Refuse requests that are past their deadline or expected to miss it.
 
-        Of those that wait only the last of each class are looked at: whoever was not
-        the last when it came has been pushed back by higher ranks only, and then the
-        last first.
+        Only the last request of each priority class is checked for the expected wait.
+        Each request was the last of its class when it arrived; since then only higher
+        ranks can have delayed it, and the last one is the first to miss its deadline.
         """
         for work in self._queue.expired(now):
             self._refuse(work, self._estimated_wait(work))
@@ -443,7 +446,7 @@
                 self._refuse(work, wait)
 
     def _estimated_wait(self, work: m.Work) -> float:
-        """Return the guessed seconds until the targets come to a waiting request."""
+        """Return the estimated seconds until a queued request is granted."""
         ahead = self._queue.seconds_ahead(work.ask)
         wait = ahead / self._service_rate if self._service_rate else MAX_RETRY_AFTER_S
         min_rate = (
@@ -456,10 +459,10 @@
         return wait
 
     def _update_service_rate(self, now: float) -> None:
-        """Reckon again how fast the targets work, at most once a moment."""
+        """Update the pool's service rate and slowness, at most once per interval."""
         if now >= self._service_rate_updated_at + RATE_UPDATE_INTERVAL_S:
             self._service_rate_updated_at = now
-            usable = self._version_partition.serving.usable(now)
+            usable = self._partition.serving.usable(now)
             self._service_rate = sum(t.slots / t.slowness for t in usable)
             self._selector.min_slowness = min((t.slowness for t in usable), default=1.0)
             slots = sum(t.slots for t in usable)
@@ -479,4 +482,4 @@
         target = self._targets.get(self._placed.pop(ask, ""))
         if target:
             target.remove(ask)
-            self._version_partition.update(target, now)
+            self._partition.update(target, now)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.slots: the dispatcher of targets with slots."""
+"""Tests of hibiscusstep.routing.slots: the dispatcher for targets with slots."""
 
 from dataclasses import replace
 
@@ -39,7 +39,7 @@
 
 
 class TestGranting:
-    def test_never_more_than_the_slots(self):
+    def test_grants_no_more_requests_than_slots(self):
         dispatcher = _dispatcher((2, 1))
         granted = {}
         for n in range(6):
@@ -48,7 +48,7 @@
         assert sorted(granted.values()) == ["t0", "t0", "t1"]
         assert dispatcher.waiting == {"0": 3}
 
-    def test_no_more_than_its_share_of_all_slots(self):
+    def test_grants_no_more_than_its_share_of_all_slots(self):
         dispatcher = _dispatcher((4, 4))
         dispatcher.share = 0.25
         for n in range(3):
@@ -57,7 +57,7 @@
         done = m.Finished("a0", m.Outcome.DONE, 10)
         assert _grants(dispatcher.handle(done, 1.0)).keys() == {"a2"}
 
-    def test_the_highest_rank_first_then_first_come(self):
+    def test_serves_by_rank_then_by_arrival(self):
         dispatcher = _dispatcher((1,))
         dispatcher.handle(m.Ask(_work("busy")), 0.0)
         dispatcher.handle(m.Ask(_work("low", rank=2, received=0.1)), 0.1)
@@ -71,8 +71,8 @@
             order.append(running)
         assert order == ["high-early", "high-late", "low"]
 
-    def test_within_a_rank_who_is_late_already_comes_last(self):
-        """A burst is refused in part; those who come back late find new ones there."""
+    def test_late_requests_are_last_within_a_rank(self):
+        """In a burst, late retries of refused requests must not delay new requests."""
         dispatcher = _dispatcher((1,))
         dispatcher.handle(m.Ask(_work("busy")), 0.0)
         for ask, rank, due in (("back", 1, 0.05), ("fresh", 1, 0.6), ("lower", 2, 5.0)):
@@ -92,17 +92,17 @@
         dispatcher = _dispatcher((2, 2), t0=True)
         assert _grants(dispatcher.handle(m.Ask(_work("a")), 0.0)) == {"a": "t1"}
 
-    def test_one_that_failed_the_request_is_avoided(self):
+    def test_a_target_that_failed_the_request_is_avoided(self):
         dispatcher = _dispatcher((2, 2))
         work = _work("a", avoid=("t0",))
         assert _grants(dispatcher.handle(m.Ask(work), 0.0)) == {"a": "t1"}
 
-    def test_before_all_have_registered_it_decides_nothing(self):
+    def test_decides_nothing_before_recovery(self):
         dispatcher = _dispatcher(recovered=False)
         assert dispatcher.handle(m.Ask(_work("a", deadline=0.1)), 5.0) == []
         assert _grants(dispatcher.handle(m.Recovered(), 0.05)) == {"a": "t0"}
 
-    def test_a_slow_target_is_learnt(self):
+    def test_slowness_of_a_target_is_learned(self):
         dispatcher = _dispatcher((4, 4))
         for n in range(12):
             grants = _grants(dispatcher.handle(m.Ask(_work(f"a{n}")), n))
@@ -111,7 +111,7 @@
             dispatcher.handle(done, n + seconds)
         assert dispatcher.targets["t0"].slowness > dispatcher.targets["t1"].slowness
 
-    def test_of_targets_that_serve_alike_the_near_one(self):
+    def test_prefers_the_local_one_of_equal_targets(self):
         targets = {
             "far": PlannedTarget(2, False, "a"),
             "near": PlannedTarget(2, False, "b"),
@@ -126,7 +126,7 @@
         assert _grants(dispatcher.handle(m.Ask(other), 0.0)) == {"b": "far"}, "idle"
 
     @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 2)), max_size=40))
-    def test_what_lies_ahead_is_what_runs(self, steps):
+    def test_target_cost_follows_the_running_requests(self, steps):
         target = SlotTarget("t", 8)
         for now, (number, step) in enumerate(steps):
             ask = f"a{number}"
@@ -143,8 +143,8 @@
             assert target.cost(0.0) == pytest.approx(0.3 * sum(r.cost for r in runs))
 
 
-class TestLosses:
-    def test_what_an_instance_no_longer_holds_is_freed(self):
+class TestLostCapacity:
+    def test_slot_not_held_by_its_instance_is_freed(self):
         dispatcher = _dispatcher((1,))
         dispatcher.handle(m.Ask(_work("lost")), 0.0)
         dispatcher.handle(m.Ask(_work("next", received=0.1)), 0.1)
@@ -152,13 +152,13 @@
         assert dispatcher.handle(held, 0.2) == []
         assert _grants(dispatcher.handle(held, 2.0)) == {"next": "t0"}
 
-    def test_what_a_dead_instance_held_is_freed(self):
+    def test_slots_of_a_dead_instance_are_freed(self):
         dispatcher = _dispatcher((1,))
         dispatcher.handle(m.Ask(_work("a", instance="dead")), 0.0)
         dispatcher.handle(m.Ask(_work("b")), 0.0)
         assert _grants(dispatcher.handle(m.InstanceGone("dead"), 1.0)) == {"b": "t0"}
 
-    def test_one_unreachable_target_rests(self):
+    def test_unreachable_target_backs_off(self):
         dispatcher = _dispatcher((4, 4, 4))
         dispatcher.handle(m.Ask(_work("a")), 0.0)
         dispatcher.handle(m.Finished("a", m.Outcome.UNREACHABLE), 0.1)
@@ -167,8 +167,8 @@
             grants |= _grants(dispatcher.handle(m.Ask(_work(f"b{n}")), 0.2))
         assert "t0" not in grants.values()
 
-    def test_when_most_seem_unreachable_all_are_used(self):
-        """One instance that is cut off must not take the targets from all others."""
+    def test_all_targets_are_used_when_most_are_unreachable(self):
+        """An instance that is cut off must not remove the targets from all others."""
         dispatcher = _dispatcher((1, 1, 1))
         for n in range(3):
             dispatcher.handle(m.Ask(_work(f"a{n}")), 0.0)
@@ -177,7 +177,7 @@
         assert _grants(dispatcher.handle(m.Ask(_work("b")), 0.2))
 
 
-_LATE = st.sampled_from(
+_STALE_MESSAGES = st.sampled_from(
     [
         m.Finished("old", m.Outcome.DONE, 40, 9.0, longest_pause=3.0),
         m.Finished("old", m.Outcome.UNREACHABLE),
@@ -193,7 +193,7 @@
 
 
 class TestRestartedTarget:
-    """What was known of a target says nothing once it has started again."""
+    """Observations of a target do not apply after it has restarted."""
 
     def _plan(self, name):
         return Plan({"p": PlannedPool(True, targets={name: PlannedTarget(2)})})
@@ -206,45 +206,45 @@
         dispatcher.handle(m.Configure(self._plan("t0@2")), 1.0)
         return dispatcher
 
-    def test_its_slots_are_free(self):
+    def test_its_slots_are_free_after_the_restart(self):
         dispatcher = self._restarted()
         for n in range(2):
             granted = _grants(dispatcher.handle(m.Ask(_work(f"a{n}")), 1.0))
             assert granted == {f"a{n}": "t0@2"}
 
-    @given(st.lists(_LATE, max_size=12))
-    def test_late_messages_of_the_older_start_change_nothing(self, late):
-        """In any order, also doubled: the next request is granted and priced alike."""
-        told, untold = self._restarted(), self._restarted()
-        for message in late:
-            told.handle(message, 1.0)
+    @given(st.lists(_STALE_MESSAGES, max_size=12))
+    def test_messages_about_the_previous_run_change_nothing(self, messages):
+        """In any order and repeated: the next request is granted at the same cost."""
+        updated, unchanged = self._restarted(), self._restarted()
+        for message in messages:
+            updated.handle(message, 1.0)
         ask = m.Ask(_work("new"))
-        assert told.handle(ask, 1.1) == untold.handle(ask, 1.1)
-        assert told.summary(1.1) == untold.summary(1.1)
+        assert updated.handle(ask, 1.1) == unchanged.handle(ask, 1.1)
+        assert updated.summary(1.1) == unchanged.summary(1.1)
 
 
-class TestFailing:
-    """A failure leaves its slot soon: a target that fails must not draw all work."""
+class TestFailingTarget:
+    """A failing target frees its slots early and must not attract all requests."""
 
     def _end(self, dispatcher, ask, at, outcome):
         return dispatcher.handle(m.Finished(ask, outcome, 0), at)
 
-    def _fail_until_it_rests(self, dispatcher):
+    def _fail_until_backoff(self, dispatcher):
         for n in range(4):
             work = _work(f"f{n}", avoid=("t1",))
             assert _grants(dispatcher.handle(m.Ask(work), 0.0)) == {f"f{n}": "t0"}
             self._end(dispatcher, f"f{n}", 0.0, m.Outcome.FAILED)
 
-    def test_one_that_mostly_fails_rests(self):
+    def test_backs_off_when_most_requests_fail(self):
         dispatcher = _dispatcher((2, 2))
-        self._fail_until_it_rests(dispatcher)
+        self._fail_until_backoff(dispatcher)
         assert _grants(dispatcher.handle(m.Ask(_work("a")), 0.1)) == {"a": "t1"}
         assert _grants(dispatcher.handle(m.Ask(_work("b")), 0.1)) == {"b": "t1"}
         assert not _grants(dispatcher.handle(m.Ask(_work("c")), 0.1))
 
-    def test_it_is_tried_with_one_request_and_comes_back(self):
+    def test_is_probed_with_one_request_and_recovers(self):
         dispatcher = _dispatcher((3, 1))
-        self._fail_until_it_rests(dispatcher)
+        self._fail_until_backoff(dispatcher)
         for n in range(3):
             dispatcher.handle(m.Ask(_work(f"a{n}")), 0.1)
         assert _grants(dispatcher.handle(m.Tick(), 0.6)) == {"a1": "t0"}
@@ -252,9 +252,9 @@
         assert done == {"a2": "t0"}
         assert _grants(dispatcher.handle(m.Ask(_work("b")), 0.7)) == {"b": "t0"}
 
-    def test_it_rests_longer_each_time(self):
+    def test_backoff_grows(self):
         dispatcher = _dispatcher((2, 2))
-        self._fail_until_it_rests(dispatcher)
+        self._fail_until_backoff(dispatcher)
         work = _work("again", avoid=("t1",))
         assert _grants(dispatcher.handle(m.Ask(work), 0.6)) == {"again": "t0"}
         self._end(dispatcher, "again", 0.6, m.Outcome.FAILED)
@@ -262,7 +262,7 @@
             "a": "t1"
         }
 
-    def test_one_that_takes_nothing_rests_shortly(self):
+    def test_rejection_causes_a_short_backoff(self):
         dispatcher = _dispatcher((2, 2))
         dispatcher.handle(m.Ask(_work("a", avoid=("t1",))), 0.0)
         self._end(dispatcher, "a", 0.0, m.Outcome.REJECTED)
@@ -273,10 +273,10 @@
 
 
 class TestLowestRank:
-    """Higher ranks ask for more than all slots, for long."""
+    """Higher ranks need more than all slots for a long time."""
 
     def _overloaded(self, switches=ALL_ON):
-        """Two slots that always have a request of the highest rank to take."""
+        """Return the ranks granted by two slots while the top rank fills both."""
         dispatcher = _dispatcher((2,), switches=switches)
         grants = []
         for n in range(120):
@@ -289,11 +289,11 @@
             grants += dispatcher.handle(done, now + 0.01)
         return [g.work.rank for g in grants if isinstance(g, m.Grant)]
 
-    def test_it_is_granted_some(self):
+    def test_receives_a_share_of_grants(self):
         ranks = self._overloaded()
         assert 0.1 < ranks.count(2) / len(ranks) < 0.5
 
-    def test_the_state_in_the_log_tells_what_each_rank_was_granted(self):
+    def test_summary_contains_the_grant_share_of_each_rank(self):
         dispatcher = _dispatcher((1,))
         for n in range(12):
             dispatcher.handle(m.Ask(_work(f"a{n}", rank=n % 2 * 2)), 0.0)
@@ -302,12 +302,12 @@
             dispatcher.handle(m.Ask(_work(f"b{n}", rank=n % 2 * 2)), 0.0)
         assert dispatcher.summary(0.0)["granted"] == {"0": 0.08, "2": 0.0}
 
-    def test_it_is_granted_nothing_by_rank_alone(self):
+    def test_receives_almost_nothing_without_the_rank_floor(self):
         ranks = self._overloaded(Switches.without("rank_floor"))
         assert ranks.count(2) / len(ranks) < 0.05
 
-    def test_a_full_queue_of_a_higher_rank_is_seen_behind_it(self):
-        """Who waits last may be in time where the last of another rank is not."""
+    def test_overload_of_a_higher_rank_is_detected_behind_it(self):
+        """The last request may be in time while the last of a higher rank is not."""
         dispatcher = _dispatcher((1,))
         dispatcher.handle(m.Ask(_work("busy")), 0.0)
         refused = []
@@ -321,7 +321,7 @@
 
 
 class TestRefusing:
-    def test_at_the_deadline_with_a_time_to_come_back(self):
+    def test_refuses_at_the_deadline_with_retry_after(self):
         dispatcher = _dispatcher((1,))
         dispatcher.handle(m.Ask(_work("a")), 0.0)
         dispatcher.handle(m.Ask(_work("b", deadline=0.5)), 0.0)
@@ -330,7 +330,7 @@
         assert refusal.work.ask == "b"
         assert refusal.retry_after > 0
 
-    def test_at_once_where_the_queue_is_too_long(self):
+    def test_refuses_at_once_when_the_queue_is_too_long(self):
         dispatcher = _dispatcher((1,))
         dispatcher.handle(m.Ask(_work("a", tokens=1000)), 0.0)
         for n in range(5):
@@ -338,8 +338,8 @@
         (refusal,) = dispatcher.handle(m.Ask(_work("c", deadline=2.0)), 0.0)
         assert isinstance(refusal, m.Refuse)
 
-    def test_at_once_also_where_one_that_is_late_waits_last(self):
-        """Who is late waits longer; it must not hide that the queue is too long."""
+    def test_refuses_at_once_although_a_late_request_is_last(self):
+        """A late request waits longer and must not hide that the queue is too long."""
         dispatcher = _dispatcher((1,))
         dispatcher.handle(m.Ask(_work("a", tokens=1000)), 0.0)
         late = m.Work("l", "l", "i", "c", "2", 2, 500, 10, 0.5, 0.3, due=0.1, ends=9.0)
@@ -353,14 +353,14 @@
         assert "l" in {refusal.work.ask for refusal in refused}
         assert len(refused) > 2
 
-    def test_nothing_while_a_slot_is_free(self):
+    def test_refuses_nothing_while_a_slot_is_free(self):
         dispatcher = _dispatcher((1,))
         decisions = dispatcher.handle(m.Ask(_work("a", deadline=0.0)), 5.0)
         assert _grants(decisions) == {"a": "t0"}
 
 
 class TestLearning:
-    def test_what_another_learnt_is_taken_over(self):
+    def test_estimates_of_another_dispatcher_are_imported(self):
         first, second = _dispatcher((4, 4)), _dispatcher((4, 4))
         first.handle(m.Ask(_work("a")), 0.0)
         first.handle(m.Finished("a", m.Outcome.DONE, 50, 5.0), 5.0)
@@ -368,8 +368,8 @@
         assert second.targets["t0"].slowness == first.targets["t0"].slowness > 5
         assert _grants(second.handle(m.Ask(_work("b")), 7.0)) == {"b": "t1"}
 
-    def test_an_engine_that_reads_faster_gets_long_prompts_on_its_slow_targets(self):
-        """Reckoned by the first guess they would be late there, and wait in vain."""
+    def test_fast_prefill_allows_long_prompts_on_slow_targets(self):
+        """By the initial estimate they would be late there and wait without need."""
         dispatcher = _dispatcher((8, 8))
         dispatcher.handle(m.Learnt({"t0": 1.0, "t1": 4.0}), 0.0)
         for n in range(30):
@@ -386,8 +386,8 @@
         long = m.Work("c", "r", "i", "c", "0", 0, 9000, 50, 50.3, 50.1, due=50.6)
         assert _grants(dispatcher.handle(m.Ask(long), 50.1)) == {"c": "t1"}
 
-    def test_nothing_is_begun_where_it_will_not_end_in_time(self):
-        """An answer cut by its caller's deadline is lost, and may not run again."""
+    def test_is_not_started_where_it_would_end_late(self):
+        """An answer cut off by its caller's deadline is lost and may not run again."""
         dispatcher = _dispatcher((1, 1))
         dispatcher.handle(m.Learnt({"t0": 1.0, "t1": 5.0}), 0.0)
         dispatcher.handle(m.Ask(_work("a")), 0.0)
@@ -398,8 +398,8 @@
         done = m.Finished("a", m.Outcome.DONE, 10, 0.1)
         assert _grants(dispatcher.handle(done, 0.3)) == {"b": "t0"}
 
-    def test_a_huge_prompt_spares_the_streams_of_a_slow_target(self):
-        """In time nowhere, it went to whichever slot was free."""
+    def test_a_huge_prompt_does_not_delay_streams_of_a_slow_target(self):
+        """A prompt that is in time nowhere was granted any free slot."""
         targets = {name: PlannedTarget(2) for name in ("fast", "slow")}
         plan = Plan({"p": PlannedPool(True, 6, 0.3, targets)})
         dispatcher = SlotDispatcher("p", plan)
@@ -422,7 +422,7 @@
         done = m.Finished("a0", m.Outcome.DONE, 10, 0.2)
         assert _grants(dispatcher.handle(done, 0.4)) == {"huge": "fast"}
 
-    def test_a_target_that_serves_in_time_is_waited_for(self):
+    def test_waits_for_a_target_that_serves_in_time(self):
         dispatcher = _dispatcher((1, 1))
         dispatcher.handle(m.Learnt({"t0": 1.0, "t1": 8.0}), 0.0)
         dispatcher.handle(m.Ask(_work("a")), 0.0)
