--- a/hibiscusstep/routing/__init__.py
+++ b/hibiscusstep/routing/__init__.py
@@ -1,1 +1,1 @@
-"""hibiscusstep.routing: pure decisions; no sockets, no clock of their own."""
+"""hibiscusstep.routing: dispatch decisions as pure code without sockets or clocks."""
--- a/hibiscusstep/routing/engine_model.py
+++ b/hibiscusstep/routing/engine_model.py
@@ -1,36 +1,37 @@
-"""hibiscusstep.routing.engine_model: how long a pool's engines take, learnt."""
+"""hibiscusstep.routing.engine_model: learned service times of a pool's engines."""
 
 import math
 from dataclasses import InitVar, dataclass, field
 
 __all__ = ["AnswerLengths", "EngineModel", "PrefillChunk", "ServiceTimes"]
 
-# First guesses, of one engine in use: seconds before a first token, prompt tokens read
-# in a second, seconds of a token while half of the slots are taken. The first two are
-# learnt for each pool; how slow a target is against the third, for each target.
+# Initial estimates, from one engine in use: seconds to a first token, prompt tokens per
+# second of prefill, and seconds per output token with half of the slots taken. The
+# first two are learned for each pool; the speed relative to the third is learned for
+# each target.
 FIRST_TOKEN_S = 0.014
 PREFILL_TOKENS_PER_S = 48_200.0
 STEP_S = 0.0031
-# The first guess counts as much as one answer, half of it to a short prompt and half
-# to a long one: with the figures of one engine for another the first few answers
-# prevail.
+# Weight of the initial estimate, in answers, split between a short and a long prompt.
+# The first few answers prevail over it if the engine differs.
 PRIOR_ANSWERS = 1.0
 PRIOR_PROMPTS = (200.0, 6000.0)
-# Weight that older observations keep with each new one: half after some 140 answers.
+# Factor by which each new observation reduces the weight of older ones: half after
+# about 140 answers.
 RETENTION = 0.995
-# Bounds of what is believed, against single odd observations.
+# Bounds of the estimates, against single outliers.
 MIN_FIRST_S, MAX_FIRST_S = 0.001, 2.0
 MIN_TOKEN_S, MAX_TOKEN_S = 1e-7, 1e-3
 
 
 @dataclass(slots=True)
 class EngineModel:
-    """Seconds before the first token of an answer, on a target of slowness 1.
+    """Time to the first token of an answer at slowness 1, in seconds.
 
-    A straight line over the prompt's tokens, by least squares over what was observed
-    with nothing else to read at the target. Long prompts were reckoned at more than
-    twice their time where engines read faster than the first guess says, so that slow
-    targets were kept from prompts which they could have read in time.
+    A linear regression over the number of prompt tokens, from observations without any
+    other prefill at the target. With the initial estimate alone, an engine with a
+    faster prefill had long prompts estimated at more than twice their time, so that
+    slow targets did not get prompts which they could have processed in time.
     """
 
     _weight: float = 0.0
@@ -43,11 +44,11 @@
     learnt: int = 0
 
     def __post_init__(self) -> None:
-        """Begin with the first guess."""
+        """Start from the initial estimate."""
         self.reset(self.first, self.token)
 
     def reset(self, first: float, token: float) -> None:
-        """Begin with what others learnt."""
+        """Restart from estimates of another dispatcher."""
         self.first, self.token = first, token
         self._weight = self._x = self._xx = self._y = self._xy = 0.0
         for prompt in PRIOR_PROMPTS:
@@ -55,15 +56,15 @@
             self._add(prompt, first + prompt * token, weight)
 
     def prefill_seconds(self, prompt_tokens: int) -> float:
-        """Return the seconds for which a prompt is read."""
+        """Return the prefill time of a prompt in seconds."""
         return prompt_tokens * self.token
 
     def answer_seconds(self, prompt_tokens: int, output_tokens: float) -> float:
-        """Return the seconds of a whole answer."""
+        """Return the time of a complete answer in seconds."""
         return self.first + self.prefill_seconds(prompt_tokens) + output_tokens * STEP_S
 
     def observe(self, prompt_tokens: int, seconds: float) -> None:
-        """Learn from a first token, in seconds as on a target of slowness 1."""
+        """Update the estimates by a time to the first token, scaled to slowness 1."""
         for name in ("_weight", "_x", "_xx", "_y", "_xy"):
             setattr(self, name, RETENTION * getattr(self, name))
         self.learnt += 1
@@ -84,18 +85,18 @@
         self._xy += weight * prompt * seconds
 
 
-# Weight of a new observation of a log-normal ratio: some 20 count.
+# Weight of a new observation of a log-normal ratio: about 20 observations count.
 RATIO_LEARNING_RATE = 0.05
 
 
 @dataclass(slots=True)
 class LogNormalRatio:
-    """A ratio that is taken as log-normal, learnt.
+    """Running estimate of a log-normally distributed ratio.
 
     Parameters
     ----------
     spread : float
-        First guess of the standard deviation of its logarithm.
+        Initial standard deviation of the ratio's logarithm.
     """
 
     spread: InitVar[float]
@@ -103,32 +104,32 @@
     _square: float = field(init=False)
 
     def __post_init__(self, spread: float) -> None:
-        """Begin with the first guess."""
+        """Start from the initial estimate."""
         self._square = spread**2
 
     def observe(self, ratio: float) -> None:
-        """Learn from an observation."""
+        """Update the estimate by an observation."""
         value = math.log(ratio)
         self._mean += RATIO_LEARNING_RATE * (value - self._mean)
         squared_error = (value - self._mean) ** 2
         self._square += RATIO_LEARNING_RATE * (squared_error - self._square)
 
     def above_median(self, deviations: float) -> float:
-        """Return the ratio so many standard deviations above the median."""
+        """Return the ratio at a number of standard deviations above the median."""
         return math.exp(self._mean + deviations * math.sqrt(self._square))
 
 
-# First guess of the spread of an answer's length against its hint, and the deviations
-# that are allowed for: four answers of five are shorter.
+# Initial spread of an answer's length relative to its hint, and the number of standard
+# deviations for the upper bound: four of five answers are shorter.
 INITIAL_LENGTH_SPREAD = 0.5
 LENGTH_DEVIATIONS = 0.84
 
 
 @dataclass(slots=True)
 class AnswerLengths:
-    """How long answers are against what callers expect, learnt.
+    """Learned ratio of the lengths of answers to the callers' hints.
 
-    Callers' hints are right at the median and far off for many.
+    The median of the hints is right, but many are far off.
     """
 
     _ratio: LogNormalRatio = field(
@@ -136,16 +137,17 @@
     )
 
     def observe(self, expected: int, tokens: int) -> None:
-        """Learn from a whole answer."""
+        """Update the estimate by a complete answer."""
         self._ratio.observe(max(1, tokens) / max(1, expected))
 
     def upper_bound(self, expected: int) -> float:
-        """Return a length that four answers of five keep below."""
+        """Return a length in tokens that four of five answers do not exceed."""
         return expected * self._ratio.above_median(LENGTH_DEVIATIONS)
 
 
-# The same of a plain service's times against its target's mean: nine of ten are
-# shorter. Of a time that the clock does not resolve this much is believed.
+# The same for the service times of a plain service relative to the mean of the target:
+# nine of ten are shorter. The minimum is used for times below the resolution of the
+# clock.
 INITIAL_SERVICE_SPREAD = 0.4
 SERVICE_DEVIATIONS = 1.28
 MIN_SERVICE_RATIO = 1e-3
@@ -153,59 +155,60 @@
 
 @dataclass(slots=True)
 class ServiceTimes:
-    """How long a plain service's requests take against the mean, learnt."""
+    """Learned ratio of a plain service's service times to their mean."""
 
     _ratio: LogNormalRatio = field(
         default_factory=lambda: LogNormalRatio(INITIAL_SERVICE_SPREAD)
     )
 
     def observe(self, ratio: float) -> None:
-        """Learn from a request that took so many times its target's mean."""
+        """Update the estimate by the ratio of a service time to the target's mean."""
         self._ratio.observe(max(MIN_SERVICE_RATIO, ratio))
 
     @property
     def upper_ratio(self) -> float:
-        """Times the mean that nine of ten requests keep below."""
+        """Multiple of the mean that nine of ten requests do not exceed."""
         return self._ratio.above_median(SERVICE_DEVIATIONS)
 
 
-# Prompts are read in parts between the tokens of other streams; until one has been
-# seen, it is taken that a prompt of any length is read between two events.
+# Engines process prompts in chunks between the tokens of other streams. Until a chunk
+# has been observed, a prompt of any length is assumed to be processed between two
+# events.
 UNKNOWN_CHUNK_S = 10.0
-# So much to read takes many parts, and a stream sees a whole share of it; less than
-# the second is never believed.
+# This much prefill takes many chunks, so that a stream is delayed by a full one. The
+# second value is the lower bound of the estimate.
 MULTI_CHUNK_S = 0.2
 MIN_CHUNK_S = 0.005
-# Weight of a new observation, larger for a longer pause than believed: what is too long
-# for callers shall be rare.
+# Weight of a new observation. It is larger for a pause above the estimate, since pauses
+# that are too long for callers must be rare.
 CHUNK_INCREASE_RATE, CHUNK_DECREASE_RATE = 0.2, 0.05
 
 
 @dataclass(slots=True)
 class PrefillChunk:
-    """Seconds of prompts read between two events of a stream, at slowness 1, learnt.
+    """Learned seconds of prefill between two events of a stream, at slowness 1.
 
-    However much there is to read, no more than a part of it is read at each step. With
-    the part guessed at half, one in seven answers of the slow targets had a pause
-    beyond what its route allows.
+    An engine processes no more than a chunk of a prompt per step, however long the
+    prompt is. With a chunk estimated at half its size, one in seven answers of the slow
+    targets had a pause beyond its route's limit.
     """
 
     most: float = UNKNOWN_CHUNK_S
 
     def between_events(self, prefill_seconds: float) -> float:
-        """Return the seconds of so much that are read between two events."""
+        """Return the seconds of pending prefill that run between two events."""
         return min(self.most, prefill_seconds)
 
     def observe(self, pause: float, prefill_seconds: float) -> None:
-        """Learn from the longest pause of an answer.
+        """Update the estimate by the longest pause of an answer.
 
         Parameters
         ----------
         pause : float
-            Its seconds beside the time of the tokens.
-        to_read : float
-            The most that was to be read beside it; less than is believed to be read
-            between two events tells nothing.
+            The pause in seconds, without the time of the tokens.
+        prefill_seconds : float
+            Maximum pending prefill beside the answer, in seconds. Less than the
+            estimated chunk says nothing about its size.
         """
         if prefill_seconds < min(self.most, MULTI_CHUNK_S):
             return
--- a/hibiscusstep/routing/own_targets.py
+++ b/hibiscusstep/routing/own_targets.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.own_targets: the targets of one that dispatches for itself."""
+"""hibiscusstep.routing.own_targets: the target subset of a standalone instance."""
 
 import math
 from collections.abc import Iterable
@@ -9,24 +9,25 @@
 
 __all__ = ["TargetSubset"]
 
-# So many at the least: where one fails or is full there are two others.
+# Minimum size of the subset: if one target fails or is full, two others remain.
 MIN_TARGETS = 3
 _HASH_RANGE = 1 << 64
 
 
 class TargetSubset:
-    """Chooses a few targets for one instance, so that all instances spread evenly.
+    """Subset of the targets for one instance, so that all instances spread evenly.
 
-    While nobody dispatches for all, as for some seconds after a restart of all, each
-    instance sees only what it granted itself. All took the fastest targets, whose
-    queues then were full for four seconds more: 98 instances and 39 targets of three
-    speeds served 0.21 of what was asked in the first two seconds and 0.56 in the next
-    (`PoolEmulator`, two seeds). A target is chosen as often as it is fast.
+    While no dispatcher serves all instances, as for some seconds after a restart of
+    all, each instance knows only its own grants. Without subsets all instances chose
+    the fastest targets, whose queues stayed full for another four seconds: 98 instances
+    and 39 targets of three speeds served 0.21 of the requests in the first two seconds
+    and 0.56 in the next two (`PoolEmulator`, two seeds). Targets are chosen with
+    probabilities proportional to their speed.
 
     Parameters
     ----------
     instance : str
-        Its name.
+        Name of the instance.
     """
 
     def __init__(self, instance: str) -> None:
@@ -34,17 +35,17 @@
         self._draws: dict[str, float] = {}
 
     def choose(self, targets: Iterable[SlotTarget], share: float) -> list[SlotTarget]:
-        """Return the targets of the instance, the same as long as these are alike.
+        """Return the instance's targets, the same ones for the same input.
 
         Parameters
         ----------
         targets : iterable of SlotTarget
-            All that may be used.
+            All usable targets.
         share : float
-            Part of all slots that the instance may take.
+            Share of all slots that the instance may take.
         """
-        # The least of exponential draws, each divided by a weight, falls on a target
-        # as often as its weight says.
+        # Among exponential random values, each divided by a weight, the probability of
+        # a target's value to be the lowest is proportional to its weight.
         order = sorted(targets, key=lambda t: self._draw(t.name) * t.slowness)
         return order[: max(MIN_TARGETS, math.ceil(share * len(order)))]
 
--- a/hibiscusstep/routing/patience.py
+++ b/hibiscusstep/routing/patience.py
@@ -1,15 +1,15 @@
-"""hibiscusstep.routing.patience: how long requests wait, and when to come back."""
+"""hibiscusstep.routing.patience: limits of the waiting time and of retry intervals."""
 
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.switches import Switches
 
 __all__ = ["MAX_RETRY_AFTER_S", "wait_deadline", "retry_after"]
 
-# Overload comes in bursts of some seconds; whoever comes back sooner is refused again.
+# Overload occurs in bursts of some seconds; an earlier retry is refused again.
 MIN_RETRY_AFTER_S = 2.0
 MAX_RETRY_AFTER_S = 5.0
-# One that is late already waits for this share of the time that its caller has left,
-# and no longer than callers bear without a first event: they leave after 2 s or more.
+# Limits of a late request's waiting time: this share of its caller's remaining time,
+# and this maximum, since callers without a first event leave after 2 s or more.
 LATE_WAIT_SHARE = 0.5
 MAX_LATE_WAIT_S = 1.5
 
@@ -19,19 +19,20 @@
 ) -> float:
     """Return until when a request waits, on the dispatcher's clock.
 
-    One that is refused comes back too late to be served in time: it waits as long as
-    that is still possible. One that is late has time, and mostly its last try.
+    A retry of a refused request comes too late to be served in time, so a request waits
+    as long as it can still be served in time. A late request has time left and is
+    mostly at its last attempt.
 
     Parameters
     ----------
     work : Work
         The request.
-    reach : float
+    serve_seconds : float
         Seconds from its start within which most such requests are served.
     late : bool
-        Whether it can't be served in time any more.
+        Whether it can no longer be served in time.
     switches : Switches
-        Which mechanisms are on.
+        The enabled mechanisms.
     """
     if not work.due:
         return work.deadline
@@ -44,10 +45,10 @@
 
 
 def retry_after(wait: float) -> float:
-    """Return the seconds after which a refused caller is told to come back."""
+    """Return the seconds after which a refused caller should retry."""
     return round(min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait)), 2)
 
 
 def _remaining_time(work: m.Work) -> float:
-    """Return the seconds that a request's caller had left when it was received."""
+    """Return the seconds that the caller had left when its request was received."""
     return max(0.0, work.ends - work.received) if work.ends else 0.0
--- a/hibiscusstep/routing/plan.py
+++ b/hibiscusstep/routing/plan.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.plan: which targets a dispatcher with slots may use."""
+"""hibiscusstep.routing.plan: the pools and targets that a slot dispatcher may use."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedTarget:
-    """A target that may be dispatched to, and how much at once."""
+    """A target that may be granted requests, and its number of slots."""
 
     slots: int
     leaving: bool = False
@@ -19,22 +19,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedPool:
-    """A pool.
+    """A pool and its targets.
 
     Parameters
     ----------
     engine : bool
         Whether its targets are model engines.
     tokens_per_event : int
-        Tokens that an event of its streams holds.
+        Number of tokens in an event of its streams.
     max_pause : float
-        Seconds between two events of a stream that is on time, at the most.
+        Maximum seconds between two events of a stream that is in time.
     targets : dict of str to PlannedTarget
         Its targets by name.
     serving : frozenset of str
         Versions of its targets that are in force; empty if all are.
     rollout : PlannedRollout or None
-        An order to move its traffic to another version.
+        A rollout that moves its traffic to another version.
     """
 
     engine: bool
@@ -47,6 +47,6 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """The pools to dispatch, by name."""
+    """Pools to dispatch, by name."""
 
     pools: dict[str, PlannedPool] = field(default_factory=dict)
--- a/hibiscusstep/routing/rank_floor.py
+++ b/hibiscusstep/routing/rank_floor.py
@@ -1,32 +1,34 @@
-"""hibiscusstep.routing.rank_floor: the least service that each rank of a pool gets."""
+"""hibiscusstep.routing.rank_floor: the minimum service of each rank of a pool."""
 
 import math
 from collections import defaultdict
 
 __all__ = ["RankFloor"]
 
-# A rank is granted at least this share of how often all requests are. Strictly by rank
-# the last one got 0.03 to 0.12 of what it asked while all got half (six targets, 1.4
-# times what they can do for 24 s, four seeds); with it 0.21 to 0.30. Of all, and not a
-# part of the slots: what it costs the others is no more than is needed for it.
+# Minimum ratio of a rank's share of granted requests to the overall share. With strict
+# priority the last rank was granted 0.03 to 0.12 of its requests while the overall
+# share was one half (six targets, 1.4 times their capacity for 24 s, four seeds); with
+# this minimum 0.21 to 0.30. It is relative to the overall share rather than a share of
+# the slots, so that it costs the other ranks no more than necessary.
 MIN_RELATIVE_GRANT_SHARE = 0.4
-# Seconds for which what was asked and granted counts, fading: bursts last some seconds.
+# Time constant of the exponential decay of the counts: bursts last some seconds.
 DECAY_TIME_S = 4.0
-# A rank whose requests take less than this part of the mean time, and together no more
-# than this part of all, is granted as often as the ranks above it: next to nothing is
-# gained for them by refusing it.
+# A rank is granted requests as often as the ranks above it if its requests take less
+# than the first share of the mean service time, and all of them together less than the
+# second share of the total. Refusing them would gain next to nothing for the other
+# ranks.
 SHORT_REQUEST_SHARE, SMALL_LOAD_SHARE = 0.25, 0.1
-# With fewer requests of a rank in that time nothing is said of it.
+# Minimum decayed number of requests of a rank for which a share is computed.
 MIN_REQUESTS = 8.0
-# What is counted fades in steps of this, in seconds.
+# Interval between updates of the decay, in seconds.
 DECAY_INTERVAL_S = 0.05
 
 
 class RankFloor:
-    """Tells which ranks were granted too little lately, of what they asked.
+    """Counter of requests and grants by rank that finds underserved ranks.
 
-    Order by rank says who goes first, not that nobody else goes: callers of the last
-    rank have a patience of their own, and overload lasts longer than that.
+    Priority by rank decides which requests go first, but lower ranks must still be
+    served: their callers wait only for a limited time, and overload lasts longer.
     """
 
     def __init__(self, *, protect_short: bool = True) -> None:
@@ -39,18 +41,18 @@
         self._decayed_at = 0.0
 
     def record_request(self, rank: int, now: float, seconds: float = 1.0) -> None:
-        """Take note of a new request, and for how long it takes a slot."""
+        """Count a new request and its estimated service time in seconds."""
         self._decay(now)
         self._requested[rank] += 1
         self._seconds[rank] += seconds
 
     def record_grant(self, rank: int, now: float) -> None:
-        """Take note of a grant."""
+        """Count a grant."""
         self._decay(now)
         self._granted[rank] += 1
 
     def underserved(self, now: float) -> list[int]:
-        """Return the ranks that are below the least share, the most neglected first."""
+        """Return the ranks below their minimum share, the lowest share first."""
         shares = self.grant_shares(now)
         self._update_short_ranks(now)
         below = (
@@ -59,7 +61,7 @@
         return sorted(below, key=shares.get)
 
     def grant_shares(self, now: float) -> dict[int, float]:
-        """Return how often each rank was granted lately, of what it asked."""
+        """Return the recent share of granted requests of each rank."""
         self._decay(now)
         return {
             rank: self._granted[rank] / requested
@@ -68,7 +70,7 @@
         }
 
     def min_grant_rate(self, rank: int) -> float:
-        """Return the grants a second that a rank gets at least; 0 if not known."""
+        """Return the minimum grants per second of a rank; 0 if not known."""
         if self._requested.get(rank, 0.0) < MIN_REQUESTS:
             return 0.0
         shares = (
@@ -77,7 +79,7 @@
         return self._min_share(rank, shares) * self._requested[rank] / DECAY_TIME_S
 
     def _min_share(self, rank: int, shares: dict[int, float]) -> float:
-        """Return the share of its requests that a rank is granted at least."""
+        """Return the minimum share of a rank's requests that is granted."""
         min_share = MIN_RELATIVE_GRANT_SHARE * self._overall_share
         if rank not in self._short_ranks:
             return min_share
@@ -85,7 +87,7 @@
         return max(min_share, min(above, self._overall_share))
 
     def _update_short_ranks(self, now: float) -> None:
-        """Find the ranks whose requests take little time, each and together."""
+        """Update the ranks whose requests are short, each and in total."""
         if not self._protect_short or now < self._short_updated_at + DECAY_INTERVAL_S:
             return
         self._short_updated_at = now
--- a/hibiscusstep/routing/retries.py
+++ b/hibiscusstep/routing/retries.py
@@ -1,20 +1,20 @@
-"""hibiscusstep.routing.retries: repeats after failures, within a budget."""
+"""hibiscusstep.routing.retries: a budget for retries after failures."""
 
 __all__ = ["RetryBudget"]
 
 
 class RetryBudget:
-    """Lets repeats be at most a share of first tries, and a few beside.
+    """Limit of retries to a share of first attempts plus a reserve.
 
-    When many targets fail at once, repeating everything would load those that are
-    left with several times the work.
+    When many targets fail at once, unlimited retries would multiply the load of the
+    remaining targets.
 
     Parameters
     ----------
     share : float
-        Repeats for each first try.
+        Retries per first attempt.
     reserve : float
-        Repeats that are saved up at most, and there at the start.
+        Maximum number of saved retries, available at the start.
     """
 
     def __init__(self, share: float, reserve: float = 10.0) -> None:
@@ -23,11 +23,11 @@
         self._tokens = self._reserve
 
     def first_try(self) -> None:
-        """Count a request's first try."""
+        """Count a request's first attempt."""
         self._tokens = min(self._reserve, self._tokens + self._share)
 
     def take(self) -> bool:
-        """Return whether a repeat may be made, and count it."""
+        """Count a retry if the budget allows it; return whether it does."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/hibiscusstep/routing/run_watch.py
+++ b/hibiscusstep/routing/run_watch.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.run_watch: granted requests, and when each should have ended."""
+"""hibiscusstep.routing.run_watch: detection of granted requests that never ended."""
 
 import heapq
 import itertools
@@ -10,23 +10,24 @@
 
 __all__ = ["CheckResult", "GrantMonitor", "LostRequests"]
 
-# An instance that lives answers within some milliseconds, on a busy half of a core in
-# 0.2 s.
+# Timeout of an instance's answer: it takes some milliseconds, and 0.2 s on a busy half
+# of a core.
 ANSWER_TIMEOUT_S = 0.5
-# What an instance says that it still holds is asked for again after this: with the time
-# for an answer, one that is lost then holds a slot for a second more at the most.
+# Interval after which an instance that confirmed a request is asked about it again.
+# With the timeout of the answer, a request lost meanwhile holds its slot for at most
+# one more second.
 INQUIRY_INTERVAL_S = 0.5
-# Checked every 0.05 s; after a gap of so much this process was paused itself, and the
-# answers to what it asked may wait to be read.
+# Checks run every 0.05 s. After a longer gap than this the dispatcher's own process was
+# paused, and answers to its inquiries may still be unread.
 PAUSE_THRESHOLD_S = 0.25
-# An instance that was cut off for less than this may still tell that it holds what was
-# taken for lost.
+# An instance that was cut off for less than this may still report that it holds a
+# request that was considered lost.
 LOST_RETENTION_S = 6.0
 
 
 @dataclass(slots=True)
 class _MonitoredGrant:
-    """A granted request: its instance, and when it is looked at next."""
+    """A granted request: its instance and the time of its next check."""
 
     instance: str
     at: float
@@ -36,14 +37,14 @@
 
 @dataclass(slots=True)
 class CheckResult:
-    """What a check found.
+    """Result of a check.
 
     Parameters
     ----------
     instances : set of str
-        To be asked what they still hold.
+        Instances to ask for the requests that they hold.
     lost : list of str
-        Asks of requests that their instances were asked for in vain.
+        Asks of requests that their instances did not confirm.
     """
 
     instances: set[str] = field(default_factory=set)
@@ -51,13 +52,14 @@
 
 
 class GrantMonitor:
-    """Tells which granted requests are overdue, and which of those are lost.
-
-    An instance that loses its power tells no end, and in a large region nobody else
-    tells its death for seconds. Who holds a request past the time at which nearly all
-    have ended is asked; who does not answer holds it no more, as far as its target is
-    concerned, since the target has ended it by then. With 33 of 195 instances lost, a
-    quarter of a pool's slots was held for requests that would never end, for 4.5 s.
+    """Monitor of granted requests that finds overdue and lost ones.
+
+    An instance that loses power reports no ends, and in a large region its failure is
+    detected only seconds later. The dispatcher therefore asks an instance about each
+    request that it holds beyond the time at which nearly all such requests have ended.
+    Without an answer the slot is released, since the target has finished the request by
+    then. With 33 of 195 instances lost, a quarter of a pool's slots was held for 4.5 s
+    by requests that never ended.
     """
 
     def __init__(self) -> None:
@@ -69,22 +71,22 @@
 
     @property
     def overdue(self) -> int:
-        """How many are held past the time at which they should have ended."""
+        """Number of requests held beyond their expected end."""
         return sum(grant.overdue for grant in self._grants.values())
 
     def asks_of_instance(self, instance: str) -> set[str]:
-        """Return the asks of the granted requests of an instance."""
+        """Return the asks of an instance's granted requests."""
         return set(self._asks_by_instance.get(instance, ()))
 
     def register(self, ask: str, instance: str, expected_end: float) -> None:
-        """Take note of a grant, and when the request should have ended."""
+        """Add a granted request with its expected end."""
         self.forget(ask)
         self._grants[ask] = _MonitoredGrant(instance, expected_end)
         self._asks_by_instance[instance].add(ask)
         self._schedule_check(ask, expected_end)
 
     def forget(self, ask: str) -> None:
-        """Take note that a request has ended."""
+        """Remove a request that has ended."""
         grant = self._grants.pop(ask, None)
         if grant is None:
             return
@@ -94,7 +96,7 @@
             del self._asks_by_instance[grant.instance]
 
     def confirm_held(self, asks: Iterable[str], now: float) -> None:
-        """Take an instance's word for what it still holds."""
+        """Mark requests as held, as reported by their instance."""
         for ask in asks:
             grant = self._grants.get(ask)
             if grant and grant.asked:
@@ -102,7 +104,7 @@
                 self._schedule_check(ask, now + INQUIRY_INTERVAL_S)
 
     def check(self, now: float) -> CheckResult:
-        """Return whom to ask, and what is lost; the caller forgets that."""
+        """Return the instances to ask, and lost requests, which the caller removes."""
         paused = now - self._checked_at > PAUSE_THRESHOLD_S
         self._checked_at = now
         if paused:
@@ -122,7 +124,7 @@
         return result
 
     def _extend_inquiries(self, now: float) -> None:
-        """Give all that were asked their time once more."""
+        """Restart the answer timeout of all pending inquiries."""
         for ask, grant in self._grants.items():
             if grant.asked:
                 self._schedule_check(ask, now + ANSWER_TIMEOUT_S)
@@ -133,21 +135,21 @@
 
 
 class LostRequests:
-    """What was taken for lost lately, should its instance say that it holds it."""
+    """Requests considered lost recently, in case their instance still holds them."""
 
     def __init__(self) -> None:
         self._lost: OrderedDict[str, tuple[float, Lost]] = OrderedDict()
 
     def add(self, lost: Lost, now: float) -> None:
-        """Remember a request that was taken for lost, and forget the old ones."""
+        """Add a request that is considered lost, and remove expired entries."""
         self._lost[lost.work.ask] = now, lost
         while next(iter(self._lost.values()))[0] < now - LOST_RETENTION_S:
             self._lost.popitem(last=False)
 
     def forget(self, ask: str) -> None:
-        """Take note that a request has ended."""
+        """Remove a request that has ended."""
         self._lost.pop(ask, None)
 
     def take(self, asks: Iterable[str]) -> list[Lost]:
-        """Return those of some asks that were taken for lost, and forget them."""
+        """Remove and return those of the given asks that were considered lost."""
         return [self._lost.pop(ask)[1] for ask in asks if ask in self._lost]
--- a/hibiscusstep/routing/suspect_runs.py
+++ b/hibiscusstep/routing/suspect_runs.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.suspect_runs: keeps apart what targets crashed under."""
+"""hibiscusstep.routing.suspect_runs: isolation of requests suspected of crashes."""
 
 from collections.abc import Iterable
 
@@ -11,19 +11,20 @@
 def exclude_suspect_targets(
     work: m.Work, free: list[SlotTarget], targets: Iterable[SlotTarget]
 ) -> list[SlotTarget]:
-    """Return the free targets at which a suspected request may run.
+    """Return the available targets on which a suspected request may run.
 
-    All that ran on a target when it crashed is suspected, and comes back at once. Put
-    beside each other again, sound requests would stand under the next crash as well; a
-    request that runs at several targets at a time may crash them all before one crash
-    is known. Looked up only for suspects, which are few.
+    All requests that ran on a target when it crashed are suspected and retried at once.
+    If they ran on the same target again, harmless requests would also be present at the
+    next crash. A request that runs on several targets at a time may crash all of them
+    before one crash is known. The running requests are scanned only for suspects, which
+    are few.
 
     Parameters
     ----------
     work : Work
-        A request; one that nothing counts against may run anywhere.
+        A request; one that is not suspected may run on any target.
     free, targets : iterable of SlotTarget
-        Those with a free slot, and all of the pool.
+        The targets with a free slot, and all targets of the pool.
     """
     if not work.suspect:
         return free
--- a/hibiscusstep/routing/switches.py
+++ b/hibiscusstep/routing/switches.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.switches: which mechanisms of a dispatcher with slots are on."""
+"""hibiscusstep.routing.switches: switches for the mechanisms of a slot dispatcher."""
 
 from dataclasses import dataclass, fields
 
@@ -7,33 +7,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Switches:
-    """Each off only to measure what it is worth.
+    """Enabled mechanisms; one is disabled only to measure its effect.
 
     Parameters
     ----------
     engine_model : bool
-        Whether the time before a first token is learnt.
+        Whether the time to the first token is learned.
     reading_share : bool
-        Whether it is learnt how long prompts hold up running streams.
+        Whether the delay of running streams by prefill is learned.
     answer_end : bool
-        Whether an answer begins only where it is expected to end in time.
+        Whether an answer starts only on a target where it is expected to end in time.
     late_last : bool
-        Whether those that can't be served in time go last within their rank, and are
-        kept waiting instead of being refused again.
+        Whether requests that can no longer be served in time are last within their rank
+        and stay queued instead of being refused again.
     useful_wait : bool
         Whether a request waits as long as it can still be served in time.
     kept_beliefs : bool
-        Whether what was learnt is kept beyond the processes.
+        Whether estimates are stored so that they survive a restart.
     rank_floor : bool
-        Whether a rank that was granted much less often than all goes first.
+        Whether a rank with a share of grants far below the overall share goes first.
     ask_overdue : bool
-        Whether instances are asked for what they hold beyond its expected end.
+        Whether instances are asked about requests that they hold beyond the expected
+        end.
     spread_alone : bool
-        Whether instances that dispatch for themselves use different targets.
+        Whether standalone instances use different targets.
     short_ranks : bool
         Whether a rank of short requests is granted as often as those above it.
     service_times : bool
-        Whether a plain service's request waits until most runs would end late.
+        Whether a plain service's request waits until most requests would end late.
     """
 
     engine_model: bool = True
@@ -50,18 +51,18 @@
 
     @classmethod
     def without(cls, names: str) -> "Switches":
-        """Return the switches with those of a list, by comma, turned off.
+        """Return the switches with the mechanisms of a comma-separated list disabled.
 
         Raises
         ------
         ValueError
-            If a name is none of them.
+            If a name is unknown.
         """
         off = [name.strip() for name in names.split(",") if name.strip()]
         known = {field.name for field in fields(cls)}
         unknown = sorted(set(off) - known)
         if unknown:
-            raise ValueError(f"no such mechanism: {', '.join(unknown)}")
+            raise ValueError(f"unknown mechanism: {', '.join(unknown)}")
         return cls(**dict.fromkeys(off, False))
 
 
--- a/hibiscusstep/routing/target_order.py
+++ b/hibiscusstep/routing/target_order.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.target_order: a pool's targets, kept in order as they change."""
+"""hibiscusstep.routing.target_order: an incremental index of a pool's targets."""
 
 import heapq
 import itertools
@@ -11,24 +11,25 @@
 
 __all__ = ["TargetIndex"]
 
-# With fewer than this share of the targets fit, failures say more of the network, or
-# of the one who reports them, than of the targets: all are used.
+# If less than this share of the targets is healthy, failures indicate a problem of the
+# network or of the reporting instance rather than of the targets: all are used.
 PANIC_THRESHOLD = 0.5
-# Seconds of a usual request, by which the targets with room are ordered.
+# Service time of a typical request, by which the targets with free slots are ordered.
 TYPICAL_REQUEST_S = 0.6
-# So many of the cheapest targets with room are weighed for a request, of its own data
-# centre and of each other one: the best is among them, as far as their order by a usual
-# request tells, and a decision costs the same however many there are.
+# Maximum number of cheapest targets with free slots that are evaluated for a request,
+# in its own data centre and in each other one. The best target is among them as far as
+# the order by a typical request tells, and the cost of a decision does not depend on
+# the number of targets.
 MAX_LOCAL_CANDIDATES = 8
 MAX_REMOTE_CANDIDATES = 3
-# So many of the fastest targets are looked at for one that is worth the wait: where
-# they do not serve in time, no slower one does but by chance.
+# Maximum number of fastest targets that are checked for one worth waiting for. If none
+# of them serves in time, a slower one rarely does.
 MAX_FASTEST = 24
 
 
 @dataclass(slots=True)
 class _Entry:
-    """What a target counts for, and where it stands in the orders."""
+    """A target's contribution to the totals and its keys in the sorted lists."""
 
     target: SlotTarget
     number: int
@@ -41,10 +42,11 @@
 
 
 class TargetIndex:
-    """Tells which targets have room, and which are fast, without a walk over all.
+    """Index of the targets with free slots and of the fastest targets.
 
-    A walk over all for each message made a decision cost 96 us with 30 targets and
-    223 us with 156 (`examples/decision_cost.py`, 100 waiting).
+    It avoids a scan of all targets for each message. With a scan a decision took 96 us
+    for 30 targets and 223 us for 156 (`examples/decision_cost.py`, 100 requests
+    queued).
     """
 
     def __init__(self) -> None:
@@ -59,20 +61,20 @@
         self._slots = 0
 
     def add(self, target: SlotTarget, now: float) -> None:
-        """Take a target; of those that are alike the one that was added first leads."""
+        """Add a target; among equal targets the one added first comes first."""
         number = next(self._numbers)
         self._by_number[number] = target
         self._entries[target.name] = _Entry(target, number)
         self.update(target, now)
 
     def remove(self, target: SlotTarget) -> None:
-        """Drop a target."""
+        """Remove a target."""
         entry = self._entries.pop(target.name)
         self._unlink(entry)
         del self._by_number[entry.number]
 
     def update(self, target: SlotTarget, now: float) -> None:
-        """Take note that a target's slots, speed, failures or state changed."""
+        """Update a target after its slots, speed, failures or state changed."""
         entry = self._entries.get(target.name)
         if entry is None:
             return
@@ -94,7 +96,7 @@
         self._reposition(entry)
 
     def _reposition(self, entry: _Entry) -> None:
-        """Put a target that is fit where it stands in the orders now."""
+        """Move a healthy target to its current position in the sorted lists."""
         target = entry.target
         pace = target.slowness, entry.number
         if pace != entry.pace:
@@ -130,7 +132,7 @@
         return (entry.slots, entry.centre) == (target.slots, target.data_centre)
 
     def _end_backoffs(self, now: float) -> None:
-        """Take back those that have rested."""
+        """Add the targets whose backoff has ended."""
         while self._backoffs and self._backoffs[0][0] <= now:
             _until, number = heapq.heappop(self._backoffs)
             target = self._by_number.get(number)
@@ -145,23 +147,23 @@
         return [t for t in self._by_number.values() if not t.leaving]
 
     def usable(self, now: float) -> list[SlotTarget]:
-        """Return all targets that may be used."""
+        """Return all usable targets."""
         if self._in_panic_mode(now):
             return self._staying_targets()
         return [t for t in self._staying_targets() if t.usable(now)]
 
     def slots(self, now: float) -> int:
-        """Return the slots of all targets that may be used."""
+        """Return the number of slots of all usable targets."""
         if self._in_panic_mode(now):
             return sum(target.slots for target in self._staying_targets())
         return self._slots
 
     def has_free_slot(self, now: float) -> bool:
-        """Whether a target that may be used seems to have a free slot."""
+        """Return whether a usable target seems to have a free slot."""
         return self._in_panic_mode(now) or any(self._by_cost.values())
 
     def candidates(self, centre: str, now: float) -> list[SlotTarget]:
-        """Return targets with a free slot that are worth weighing for a request.
+        """Return the targets with a free slot to evaluate for a request.
 
         Parameters
         ----------
@@ -183,7 +185,7 @@
         return [target for target in targets if target.available_slots(now) > 0]
 
     def fastest(self, now: float) -> list[SlotTarget]:
-        """Return the fastest targets that may be used, with room or without."""
+        """Return the fastest usable targets, with or without a free slot."""
         if self._in_panic_mode(now):
             return self._staying_targets()
         return [
--- a/hibiscusstep/routing/version_split.py
+++ b/hibiscusstep/routing/version_split.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.version_split: which targets serve, by their version."""
+"""hibiscusstep.routing.version_split: which versions of a pool's targets serve."""
 
 import enum
 
@@ -15,11 +15,12 @@
 
 class _Role(enum.Enum):
     SERVING = "its version is in force"
-    CANARY = "its version is to be in force, and not proved yet"
-    BARRED = "no order allows its version"
+    CANARY = "its version is being rolled out"
+    BARRED = "its version is neither in force nor being rolled out"
 
 
-# What a request's end tells of its target's version; other ends tell nothing of it.
+# Outcomes that count in the comparison of versions; others do not depend on the
+# version.
 _COMPARED_OUTCOMES = (
     m.Outcome.DONE,
     m.Outcome.FAILED,
@@ -29,22 +30,22 @@
 
 
 class VersionPartition:
-    """Keeps the targets of each version apart, and carries out the pool's order.
+    """Partition of the targets by version, which carries out the pool's rollout.
 
     Parameters
     ----------
-    choice : SlotChoice
-        Weighs targets for requests.
+    selector : TargetSelector
+        Selects targets for requests.
     is_standalone : bool
-        Whether it dispatches for one instance only: that sends nothing to a version
-        that is not in force, since nobody counts it.
+        Whether the dispatcher serves a single instance. It then sends no requests to a
+        version that is not in force, since they would not be counted.
 
     Attributes
     ----------
-    serving : TargetOrder
-        Targets of the versions that are in force.
+    serving : TargetIndex
+        Targets of the versions in force.
     rollout : Rollout or None
-        The order that is being carried out.
+        The rollout in progress.
     """
 
     def __init__(self, selector: TargetSelector, is_standalone: bool) -> None:
@@ -52,7 +53,7 @@
         self._is_standalone = is_standalone
         self._canaries = TargetIndex()
         self._roles: dict[str, _Role] = {}
-        # Where each target stands that is not barred.
+        # Index of each target that is not barred.
         self._index_by_target: dict[str, TargetIndex] = {}
         self._serving_versions: frozenset[str] = frozenset()
         self._reported = False
@@ -61,16 +62,16 @@
 
     @property
     def _canary_names(self) -> list[str]:
-        """Targets of the version that is to be in force."""
+        """Names of the targets of the new version."""
         return [name for name, role in self._roles.items() if role is _Role.CANARY]
 
     def slots(self, now: float) -> int:
-        """Return the slots of all targets that may be used."""
+        """Return the number of slots of all usable targets."""
         slots = self.serving.slots(now)
         return slots if self.rollout is None else slots + self._canaries.slots(now)
 
     def configure(self, pool: PlannedPool) -> None:
-        """Take the versions in force and the order, before the targets are placed."""
+        """Apply the versions in force and the rollout, before targets are assigned."""
         self._serving_versions = pool.serving
         planned = None if self._is_standalone else pool.rollout
         if planned is None:
@@ -82,7 +83,7 @@
             self._reported = False
 
     def assign(self, target: SlotTarget, now: float) -> None:
-        """Put a target where its version belongs, and note that it changed."""
+        """Assign a target to the index of its version and update it there."""
         role = self._role_of(target)
         if role is self._roles.get(target.name):
             self.update(target, now)
@@ -95,13 +96,13 @@
             index.add(target, now)
 
     def update(self, target: SlotTarget, now: float) -> None:
-        """Take note that a target's slots, speed, failures or state changed."""
+        """Update a target after its slots, speed, failures or state changed."""
         index = self._index_by_target.get(target.name)
         if index is not None:
             index.update(target, now)
 
     def remove(self, target: SlotTarget) -> None:
-        """Drop a target."""
+        """Remove a target."""
         self._roles.pop(target.name, None)
         index = self._index_by_target.pop(target.name, None)
         if index is not None:
@@ -115,7 +116,7 @@
         return _Role.BARRED
 
     def has_free_slot(self, now: float) -> bool:
-        """Whether a target that may be used seems to have a free slot."""
+        """Return whether a usable target seems to have a free slot."""
         if self.serving.has_free_slot(now):
             return True
         if self.rollout is None or not self.rollout.may_expose():
@@ -123,7 +124,7 @@
         return self._canaries.has_free_slot(now)
 
     def choose_canary(self, work: m.Work, now: float) -> SlotTarget | None:
-        """Return a target of the new version for a request; None if it gets none."""
+        """Return a target of the new version for a request; None for the others."""
         if self.rollout is None or work.suspect:
             return None
         if not self.rollout.may_expose() or not self._canaries.has_free_slot(now):
@@ -141,7 +142,7 @@
         return self._selector.choose(work, free, worth_waiting, now)
 
     def _next_canary(self, now: float) -> list[SlotTarget]:
-        """Return the first of the new targets, in turn, that has a free slot."""
+        """Return the next target of the new version with a free slot, in turn."""
         free = {
             t.name: t for t in self._canaries.usable(now) if t.available_slots(now) > 0
         }
@@ -149,7 +150,7 @@
         return [free[name] for name in tried if name in free][:1]
 
     def may_serve(self, work: m.Work, target: SlotTarget, now: float) -> bool:
-        """Whether a request would end at a target before that is stopped."""
+        """Return whether a request would end before its target is stopped."""
         if self.rollout is None or not self.rollout.moves_all:
             return True
         planned = self.rollout.planned
@@ -157,14 +158,14 @@
         return ends < planned.deadline - planned.lead
 
     def record_grant(self, target: SlotTarget) -> None:
-        """Count a request that was granted a target."""
+        """Count a granted request for the rollout."""
         if self.rollout:
             self.rollout.count(self._roles.get(target.name) is _Role.CANARY)
 
     def record_end(
         self, target: SlotTarget, run: Run, finished: m.Finished, now: float
     ) -> None:
-        """Compare a request's end with others."""
+        """Add a request's outcome to the comparison of versions."""
         outcome = finished.outcome
         if not self.rollout or outcome not in _COMPARED_OUTCOMES:
             return
@@ -183,7 +184,7 @@
         self.rollout.comparison.observe(answer, new=new, now=now)
 
     def _running_canaries(self, targets: dict[str, SlotTarget], now: float):
-        """Yield what runs at the new version's targets."""
+        """Yield the running requests at targets of the new version."""
         for name in self._canary_names:
             for run in targets[name].running.values():
                 if not (run.work.suspect or run.adopted):
@@ -198,7 +199,7 @@
                     )
 
     def tick(self, targets: dict[str, SlotTarget], now: float) -> m.Conclude | None:
-        """Decide what is a matter of time; return a conclusion that is new."""
+        """Advance the rollout; return its conclusion once there is one."""
         if self.rollout is None:
             return None
         running = self._running_canaries(targets, now)
--- a/tests/test_run_watch.py
+++ b/tests/test_run_watch.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.run_watch: slots that the dead hold, none of the living."""
+"""Tests of hibiscusstep.routing.run_watch: detection of requests that never ended."""
 
 import heapq
 import itertools
@@ -23,8 +23,8 @@
 TICK_S = 0.05
 
 
-def _checked(monitor, until, start=0.0):
-    """Check at each tick; return the instances asked and the asks lost, by moment."""
+def _run_checks(monitor, until, start=0.0):
+    """Check at each tick; return when each instance was asked and each ask lost."""
     asked, lost = {}, {}
     now = start
     while now <= until:
@@ -37,42 +37,42 @@
     return asked, lost
 
 
-class TestRunWatch:
-    def test_nothing_is_asked_before_the_expected_end(self):
+class TestGrantMonitor:
+    def test_sends_no_inquiry_before_the_expected_end(self):
         monitor = GrantMonitor()
         monitor.register("a", "i", 2.0)
-        assert _checked(monitor, 1.9) == ({}, {})
+        assert _run_checks(monitor, 1.9) == ({}, {})
         assert monitor.overdue == 0
 
-    def test_who_does_not_answer_holds_nothing(self):
+    def test_request_is_lost_without_an_answer(self):
         monitor = GrantMonitor()
         monitor.register("a", "i", 2.0)
-        asked, lost = _checked(monitor, 4.0)
+        asked, lost = _run_checks(monitor, 4.0)
         assert asked == {"i": 2.0}
         assert lost == {"a": pytest.approx(2.0 + ANSWER_TIMEOUT_S, abs=TICK_S + 0.001)}
         assert monitor.asks_of_instance("i") == set()
 
-    def test_who_answers_is_asked_again_later(self):
+    def test_confirmed_request_is_checked_again_later(self):
         monitor = GrantMonitor()
         monitor.register("a", "i", 2.0)
-        _checked(monitor, 2.2)
+        _run_checks(monitor, 2.2)
         monitor.confirm_held(["a"], 2.2)
         assert monitor.overdue == 1
-        asked, lost = _checked(monitor, 2.2 + INQUIRY_INTERVAL_S + 0.1, 2.25)
+        asked, lost = _run_checks(monitor, 2.2 + INQUIRY_INTERVAL_S + 0.1, 2.25)
         assert asked == {"i": pytest.approx(2.2 + INQUIRY_INTERVAL_S, abs=0.051)}
         assert not lost
 
-    def test_an_end_that_was_told_is_not_asked_for(self):
+    def test_sends_no_inquiry_after_a_reported_end(self):
         monitor = GrantMonitor()
         monitor.register("a", "i", 2.0)
         monitor.forget("a")
-        assert _checked(monitor, 4.0) == ({}, {})
+        assert _run_checks(monitor, 4.0) == ({}, {})
 
-    def test_a_dispatcher_that_was_paused_itself_waits_for_the_answer(self):
-        """The answer lies in its mailbox; a check may come before it."""
+    def test_waits_for_the_answer_after_a_pause_of_the_dispatcher(self):
+        """The answer is still in its mailbox, and a check may run before it is read."""
         monitor = GrantMonitor()
         monitor.register("a", "i", 2.0)
-        _checked(monitor, 2.1)
+        _run_checks(monitor, 2.1)
         assert monitor.check(5.0).lost == []
         monitor.confirm_held(["a"], 5.01)
         assert monitor.check(5.05).lost == []
@@ -92,7 +92,7 @@
 
 
 class TestLostRequests:
-    def test_a_silent_instance_is_asked_and_its_slots_are_free(self):
+    def test_slots_of_a_silent_instance_are_freed_after_an_inquiry(self):
         dispatcher = _dispatcher(1, targets=1)
         dispatcher.handle(_ask("a", "dead", 0.0), 0.0)
         dispatcher.handle(_ask("b", "i", 0.0), 0.0)
@@ -108,7 +108,7 @@
         assert at == pytest.approx(MIN_OVERDUE_S + ANSWER_TIMEOUT_S, abs=0.06)
         assert dispatcher.counts.lost == 1
 
-    def test_the_state_in_the_log_tells_what_is_overdue(self):
+    def test_summary_contains_the_overdue_requests(self):
         dispatcher = _dispatcher(1, targets=1)
         dispatcher.handle(_ask("a", "i", 0.0), 0.0)
         assert dispatcher.summary(0.0)["overdue"] == 0
@@ -116,7 +116,7 @@
             dispatcher.handle(m.Tick(), n * TICK_S)
         assert dispatcher.summary(0.6)["overdue"] == 1
 
-    def test_what_was_taken_for_lost_counts_again_when_it_is_told(self):
+    def test_lost_request_counts_again_when_it_is_reported_held(self):
         dispatcher = _dispatcher(1, targets=1)
         dispatcher.handle(_ask("a", "i", 0.0), 0.0)
         for n in range(40):
@@ -129,23 +129,23 @@
 
 @dataclass(frozen=True)
 class _Fault:
-    """What happens to an instance: `deaf` hears nothing, `mute` is not heard."""
+    """A fault of an instance: `deaf` receives nothing, nothing of `mute` arrives."""
 
     kind: str
     instance: int
     start: float
     length: float
 
-    def holds(self, now):
+    def is_active(self, now):
         return self.start <= now < self.start + self.length
 
 
 class _Region:
-    """Instances, a dispatcher and targets in virtual time, with a network between.
+    """Instances, a dispatcher and targets connected by a network, in virtual time.
 
-    Messages take up to 0.05 s. A paused instance does nothing, and takes afterwards
-    what has come meanwhile; what a cut holds up arrives after it, as on a connection.
-    Targets work on whatever becomes of the instance.
+    Messages take up to 0.05 s. A paused instance does nothing and handles the messages
+    that arrived meanwhile afterwards. Messages delayed by a cut arrive after it, as on
+    a connection. Targets continue to work when their instance fails.
     """
 
     INSTANCES, TARGETS, SLOTS = 4, 2, 2
@@ -160,27 +160,29 @@
         self.waiting = {}
         self.held = [set() for _ in range(self.INSTANCES)]
         self.work_until = {}
-        self.most = 0
+        self.max_running = 0
 
     def at(self, moment, action, *arguments):
         heapq.heappush(self.events, (moment, next(self.order), action, arguments))
 
     def run(self, seconds):
         for n in range(int(seconds / TICK_S)):
-            self.at(n * TICK_S, self.tell, m.Tick())
-            self.at(n * TICK_S, self.ask, f"a{n}", n % self.INSTANCES)
+            self.at(n * TICK_S, self.dispatch, m.Tick())
+            self.at(n * TICK_S, self.send_ask, f"a{n}", n % self.INSTANCES)
         while self.events and self.events[0][0] <= seconds:
             self.now, _number, action, arguments = heapq.heappop(self.events)
             action(*arguments)
 
-    def when(self, instance, *kinds):
-        """Return when an instance is next free of some troubles; None if it is dead."""
+    def available_at(self, instance, *kinds):
+        """Return when some faults of an instance end; None if it is dead."""
         moment = self.now
         while True:
-            hit = [t for t in self.faults if t.instance == instance and t.holds(moment)]
-            if any(t.kind == "dead" for t in hit):
+            active = [
+                t for t in self.faults if t.instance == instance and t.is_active(moment)
+            ]
+            if any(t.kind == "dead" for t in active):
                 return None
-            ends = [t.start + t.length for t in hit if t.kind in kinds]
+            ends = [t.start + t.length for t in active if t.kind in kinds]
             if not ends:
                 return moment
             moment = max(ends)
@@ -189,18 +191,18 @@
         return self.draw.uniform(0.001, 0.05)
 
     def to_dispatcher(self, instance, message):
-        moment = self.when(instance, "mute", "paused")
+        moment = self.available_at(instance, "mute", "paused")
         if moment is not None:
-            self.at(moment + self.delay(), self.tell, message)
+            self.at(moment + self.delay(), self.dispatch, message)
 
-    def tell(self, message):
+    def dispatch(self, message):
         for decision in self.dispatcher.handle(message, self.now):
             if isinstance(decision, m.Inquire | m.Grant):
                 name = getattr(decision, "instance", None) or decision.work.instance
                 self.at(self.now + self.delay(), self.deliver, int(name), decision)
 
     def deliver(self, instance, decision):
-        moment = self.when(instance, "deaf", "paused")
+        moment = self.available_at(instance, "deaf", "paused")
         if moment is None:
             return
         if moment > self.now:
@@ -209,15 +211,15 @@
             held = m.Held(str(instance), frozenset(self.held[instance]))
             self.to_dispatcher(instance, held)
         else:
-            self.take(instance, decision)
+            self.accept_grant(instance, decision)
 
-    def ask(self, ask, instance):
-        if self.when(instance, "paused") != self.now:
+    def send_ask(self, ask, instance):
+        if self.available_at(instance, "paused") != self.now:
             return
         self.waiting[ask] = self.now
         self.to_dispatcher(instance, _ask(ask, str(instance), self.now))
 
-    def take(self, instance, grant):
+    def accept_grant(self, instance, grant):
         ask = grant.work.ask
         if self.now - self.waiting.pop(ask) - grant.wait > STALE_GRANT_S:
             self.to_dispatcher(instance, m.Withdraw(ask))
@@ -226,21 +228,21 @@
         seconds = self.draw.uniform(0.05, MIN_OVERDUE_S)
         self.work_until[ask] = grant.target, self.now + seconds
         working = [t for t, ends in self.work_until.values() if ends > self.now]
-        self.most = max(self.most, working.count(grant.target))
-        self.at(self.now + seconds, self.end, instance, ask)
+        self.max_running = max(self.max_running, working.count(grant.target))
+        self.at(self.now + seconds, self.finish, instance, ask)
 
-    def end(self, instance, ask):
-        moment = self.when(instance, "paused")
+    def finish(self, instance, ask):
+        moment = self.available_at(instance, "paused")
         if moment is None:
             return
         if moment > self.now:
-            self.at(moment, self.end, instance, ask)
+            self.at(moment, self.finish, instance, ask)
             return
         self.held[instance].discard(ask)
         self.to_dispatcher(instance, m.Finished(ask, m.Outcome.DONE))
 
 
-_SLOW = st.builds(
+_FAULTS = st.builds(
     _Fault,
     st.sampled_from(["paused", "deaf", "mute"]),
     st.integers(0, _Region.INSTANCES - 1),
@@ -251,26 +253,26 @@
 
 class TestRegion:
     @settings(max_examples=60, deadline=None, derandomize=True)
-    @given(st.integers(0, 999), st.lists(_SLOW, max_size=5))
-    def test_no_slot_is_granted_twice_while_instances_are_slow_or_cut(
+    @given(st.integers(0, 999), st.lists(_FAULTS, max_size=5))
+    def test_no_slot_is_granted_twice_while_instances_are_slow_or_cut_off(
         self, seed, faults
     ):
         region = _Region(seed, faults)
         region.run(9.0)
-        assert region.most <= region.SLOTS
+        assert region.max_running <= region.SLOTS
 
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(
         st.integers(0, 999),
-        st.lists(_SLOW, max_size=3),
+        st.lists(_FAULTS, max_size=3),
         st.lists(st.integers(0, _Region.INSTANCES - 1), min_size=1, max_size=3),
     )
-    def test_what_the_dead_hold_is_free_within_a_second(self, seed, faults, dead):
+    def test_slots_of_dead_instances_are_free_within_a_second(self, seed, faults, dead):
         at = 6.0
         losses = [_Fault("dead", instance, at, 99.0) for instance in dead]
         region = _Region(seed, [*faults, *losses])
         region.run(at + MIN_OVERDUE_S + ANSWER_TIMEOUT_S + 2 * TICK_S)
-        assert region.most <= region.SLOTS
+        assert region.max_running <= region.SLOTS
         held = {
             run.work.instance
             for target in region.dispatcher.targets.values()
--- a/tests/test_target_order.py
+++ b/tests/test_target_order.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.target_order: the order kept is that of a walk over all."""
+"""Tests of hibiscusstep.routing.target_order: the index agrees with a full scan."""
 
 import pytest
 from hypothesis import given, settings
@@ -28,7 +28,7 @@
 
 
 def _apply(target, step, number, now):
-    """Change a target as a dispatcher does."""
+    """Change a target as the dispatcher does."""
     match step:
         case "grant" if target.unassigned_slots > 0:
             target.add(f"{number}", _run(now, 0.1 + number))
@@ -56,10 +56,10 @@
 )  # fmt: skip
 
 
-class TestOrder:
+class TestTargetIndex:
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.lists(st.tuples(_STEPS, st.integers(0, TARGETS - 1)), max_size=60))
-    def test_it_is_as_a_walk_over_all_would_find_it(self, steps):
+    def test_agrees_with_a_scan_of_all_targets(self, steps):
         order, now = TargetIndex(), 0.0
         targets = {}
         for n in range(TARGETS):
@@ -79,9 +79,9 @@
 
     def _check(self, order, targets, now):
         staying = [t for t in targets if not t.leaving]
-        fit = [t for t in staying if t.usable(now)]
-        panics = len(fit) < PANIC_THRESHOLD * len(staying)
-        usable = staying if panics else fit
+        healthy = [t for t in staying if t.usable(now)]
+        is_panic = len(healthy) < PANIC_THRESHOLD * len(staying)
+        usable = staying if is_panic else healthy
         assert order.usable(now) == usable
         assert order.slots(now) == sum(t.slots for t in usable)
         free = [t for t in usable if t.available_slots(now) > 0]
@@ -90,7 +90,7 @@
         fastest = {t.slowness for t in order.fastest(now)}
         assert fastest == {t.slowness for t in usable}
 
-    def test_of_many_the_cheapest_of_each_data_centre_are_weighed(self):
+    def test_limits_candidates_to_the_cheapest_of_each_data_centre(self):
         order = TargetIndex()
         for n in range(200):
             slowness = 0.5 + (n * 37 % 200) / 100
@@ -105,23 +105,21 @@
         assert len(order.fastest(0.0)) == MAX_FASTEST
 
 
-class TestCostOfADecision:
-    """What a decision looks at does not grow with the targets of a pool.
+class TestDecisionCost:
+    """The number of targets evaluated per decision does not grow with the pool.
 
-    A walk over all for each message cost 96 us a request with 30 targets and 223 us
-    with 156, a quarter of a core for a region of 156 targets in overload.
+    A scan of all targets for each message took 96 us per request with 30 targets and
+    223 us with 156, a quarter of a core for a region of 156 targets in overload.
     """
 
     @pytest.mark.parametrize("full", [False, True])
-    def test_prices_are_bounded(self, monkeypatch, full):
-        counted = [self._prices_of_an_ask(monkeypatch, n, full) for n in (60, 600)]
+    def test_number_of_evaluated_targets_is_bounded(self, monkeypatch, full):
+        counts = [self._count_evaluations(monkeypatch, n, full) for n in (60, 600)]
         assert (
-            counted[0]
-            == counted[1]
-            <= 2 * (MAX_LOCAL_CANDIDATES + MAX_REMOTE_CANDIDATES)
+            counts[0] == counts[1] <= 2 * (MAX_LOCAL_CANDIDATES + MAX_REMOTE_CANDIDATES)
         )
 
-    def _prices_of_an_ask(self, monkeypatch, targets, full):
+    def _count_evaluations(self, monkeypatch, targets, full):
         plan = {
             f"t{n}": PlannedTarget(1, data_centre=CENTRES[n % 2])
             for n in range(targets)
@@ -130,17 +128,17 @@
         dispatcher.handle(m.Recovered(), 0.0)
         for n in range(targets - 1 if full else targets // 2):
             dispatcher.handle(self._ask(f"a{n}"), 0.0)
-        prices = []
+        evaluated = []
         price = TargetSelector._price
 
         def count(choice, target, *rest):
-            prices.append(target)
+            evaluated.append(target)
             return price(choice, target, *rest)
 
         monkeypatch.setattr(TargetSelector, "_price", count)
         assert dispatcher.handle(self._ask("last"), 0.0)
         monkeypatch.undo()
-        return len(prices)
+        return len(evaluated)
 
     def _ask(self, ask):
         return m.Ask(
