--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.engine_model: what engines take, learnt from their answers."""
+"""Tests of hibiscusstep.routing.engine_model: learned service times of engines."""
 
 import random
 
@@ -8,7 +8,7 @@
 
 
 class TestEngineModel:
-    def test_begins_with_the_first_guess(self):
+    def test_starts_from_the_initial_estimate(self):
         model = EngineModel()
         assert model.prefill_seconds(48_200) == pytest.approx(1.0)
         assert model.answer_seconds(0, 0) == pytest.approx(0.014)
@@ -16,17 +16,17 @@
     @pytest.mark.parametrize(
         ("first", "rate"), [(0.036, 68_200), (0.1, 8_000), (0.005, 400_000)]
     )
-    def test_learns_another_engine_within_some_answers(self, first, rate):
+    def test_converges_for_another_engine_within_a_few_answers(self, first, rate):
         model = EngineModel()
-        draw = random.Random(7)
+        generator = random.Random(7)
         for _ in range(40):
-            prompt = draw.choice((600, 1800, 6600, 20_000))
+            prompt = generator.choice((600, 1800, 6600, 20_000))
             model.observe(prompt, first + prompt / rate)
         assert model.prefill_seconds(6600) == pytest.approx(6600 / rate, rel=0.2)
         whole = first + 6600 / rate
         assert model.answer_seconds(6600, 0) == pytest.approx(whole, rel=0.2)
 
-    def test_a_single_odd_answer_moves_little(self):
+    def test_a_single_outlier_has_little_effect(self):
         model = EngineModel()
         for _ in range(30):
             model.observe(600, 0.026)
@@ -35,7 +35,7 @@
         model.observe(6600, 1.5)
         assert model.prefill_seconds(6600) < 1.6 * before
 
-    def test_prompts_all_alike_leave_it_usable(self):
+    def test_equal_prompt_lengths_give_usable_estimates(self):
         model = EngineModel()
         for _ in range(500):
             model.observe(1000, 0.05)
@@ -45,16 +45,18 @@
 
 
 class TestAnswerLengths:
-    def test_four_of_five_answers_are_shorter(self):
-        draw = random.Random(5)
+    def test_upper_bound_exceeds_four_of_five_answers(self):
+        generator = random.Random(5)
         lengths = AnswerLengths()
         for _ in range(400):
-            lengths.observe(300, round(300 * draw.lognormvariate(0.0, 0.8)))
+            lengths.observe(300, round(300 * generator.lognormvariate(0.0, 0.8)))
         bound = lengths.upper_bound(300)
-        shorter = sum(300 * draw.lognormvariate(0.0, 0.8) < bound for _ in range(1000))
+        shorter = sum(
+            300 * generator.lognormvariate(0.0, 0.8) < bound for _ in range(1000)
+        )
         assert 700 < shorter < 900
 
-    def test_exact_hints_are_believed(self):
+    def test_upper_bound_converges_to_exact_hints(self):
         lengths = AnswerLengths()
         for _ in range(200):
             lengths.observe(50, 50)
--- a/tests/test_mechanisms_off.py
+++ b/tests/test_mechanisms_off.py
@@ -1,7 +1,7 @@
-"""With a mechanism switched off, the checker finds its promise broken.
+"""With a mechanism disabled, the checker reports that its promise is broken.
 
-With it on, the same situations are in the tests of each promise and find nothing. For
-claims and the tier guard see test_at_most_once.py and test_tiers.py.
+The tests of each promise run the same situations with the mechanism enabled and report
+nothing. For claims and the tier guard see test_at_most_once.py and test_tiers.py.
 """
 
 import asyncio
@@ -53,7 +53,7 @@
             assert "graceful shutdown" in promises(cluster)
 
     async def test_versions_that_only_go_up(self, tmp_path, monkeypatch):
-        def take_any(keeper, version, value):
+        def accept_any_version(keeper, version, value):
             loaded = InForce(version, value, Stored.parse(value).load())
             keeper._in_force = loaded
             keeper._publish(loaded)
@@ -64,7 +64,7 @@
             await until(
                 lambda: all(e.in_force.version == newer for e in cluster._live())
             )
-            monkeypatch.setattr(ConfigurationKeeper, "_take", take_any)
+            monkeypatch.setattr(ConfigurationKeeper, "_take", accept_any_version)
             cluster.entries["e0"]._keeper.tell(_Seen(old.version, old.value))
             await until(lambda: "configuration" in promises(cluster))
 
@@ -99,15 +99,13 @@
 
     @pytest.mark.parametrize("off", [False, True])
     async def test_the_end_mark(self, tmp_path, monkeypatch, off):
-        async def take_the_end_of_the_connection_for_the_end(answer):
+        async def treat_connection_close_as_end(answer):
             with contextlib.suppress(aiohttp.ClientError):
                 async for chunk in answer._response.content.iter_any():
                     yield chunk
 
         if off:
-            monkeypatch.setattr(
-                StreamedAnswer, "chunks", take_the_end_of_the_connection_for_the_end
-            )
+            monkeypatch.setattr(StreamedAnswer, "chunks", treat_connection_close_as_end)
         spec = RequestClass(share=1, customers=["c"], model="m")
         arrival = Arrival(0, 0.0, "kind", "c", spec, "why?", 12, False, "")
         async with Cluster(tmp_path, services=0, engines=2) as cluster:
--- a/tests/test_own_targets.py
+++ b/tests/test_own_targets.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.own_targets: instances that are alone spread evenly."""
+"""Tests of hibiscusstep.routing.own_targets: standalone instances spread evenly."""
 
 from collections import Counter
 
@@ -17,8 +17,8 @@
     return [SlotTarget(f"t{n}", 5, slowness=SLOWNESS[n % 3]) for n in range(count)]
 
 
-class TestOwnTargets:
-    def test_each_target_is_used_as_often_as_it_is_fast(self):
+class TestTargetSubset:
+    def test_uses_targets_in_proportion_to_their_speed(self):
         targets = _targets(60)
         used = Counter(
             target.slowness
@@ -28,26 +28,26 @@
         assert sum(used.values()) == 600 * MIN_TARGETS
         speeds = [1 / slowness for slowness in SLOWNESS]
         for slowness in SLOWNESS:
-            even = 600 * MIN_TARGETS / slowness / sum(speeds)
-            assert used[slowness] == pytest.approx(even, rel=0.2)
+            expected = 600 * MIN_TARGETS / slowness / sum(speeds)
+            assert used[slowness] == pytest.approx(expected, rel=0.2)
 
-    def test_those_of_an_instance_stay_the_same(self):
-        own = TargetSubset("i")
+    def test_is_stable_for_an_instance(self):
+        subset = TargetSubset("i")
         targets = _targets(60)
-        assert own.choose(targets, 0.01) == TargetSubset("i").choose(targets, 0.01)
+        assert subset.choose(targets, 0.01) == TargetSubset("i").choose(targets, 0.01)
 
-    def test_a_greater_share_is_of_more_targets(self):
+    def test_size_grows_with_the_share(self):
         assert len(TargetSubset("i").choose(_targets(60), 0.2)) == 12
 
-    def test_where_one_is_gone_the_next_takes_its_place(self):
+    def test_next_target_replaces_a_removed_one(self):
         targets = _targets(60)
         first, *rest = TargetSubset("i").choose(targets, 0.01)
         left = [target for target in targets if target is not first]
         assert TargetSubset("i").choose(left, 0.01)[: len(rest)] == rest
 
 
-class TestInstanceThatDispatchesForItself:
-    """After a restart of all with the targets' speeds kept, all are alike."""
+class TestStandaloneInstance:
+    """After a restart of all, instances with equal stored estimates act alike."""
 
     def _granted(self, instance, asks=1):
         targets = {f"t{n}": PlannedTarget(5) for n in range(30)}
@@ -63,15 +63,15 @@
             decisions += dispatcher.handle(m.Ask(work), 0.0)
         return dispatcher, [d.target for d in decisions if isinstance(d, m.Grant)]
 
-    def test_others_take_other_targets(self):
+    def test_instances_use_different_targets(self):
         used = Counter(self._granted(f"i{n}")[1][0] for n in range(90))
         assert len(used) > 10
         assert max(used.values()) < 20
 
-    def test_no_more_than_its_share_of_all_slots(self):
+    def test_grants_no_more_than_its_share_of_all_slots(self):
         assert len(self._granted("i", asks=9)[1]) == 3
 
-    def test_one_that_cannot_be_reached_is_left(self):
+    def test_avoids_an_unreachable_target(self):
         dispatcher, (target,) = self._granted("i")
         dispatcher.handle(m.Finished("a0", m.Outcome.UNREACHABLE), 0.1)
         work = m.Work("b", "r", "i", "c", "0", 0, 500, 99, 9.0, 0.1)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -10,18 +10,18 @@
 
 class TestRetryBudget:
     @given(st.lists(st.booleans(), max_size=300), st.floats(0, 1))
-    def test_repeats_are_a_share_of_first_tries(self, steps, share):
+    def test_retries_are_limited_to_a_share_of_first_attempts(self, steps, share):
         budget = RetryBudget(share, reserve=5.0)
-        firsts = repeats = 0
-        for first in steps:
-            if first:
+        first_attempts = retries = 0
+        for is_first in steps:
+            if is_first:
                 budget.first_try()
-                firsts += 1
+                first_attempts += 1
             else:
-                repeats += budget.take()
-            assert repeats <= share * firsts + 5.0 + 1e-6
+                retries += budget.take()
+            assert retries <= share * first_attempts + 5.0 + 1e-6
 
-    async def test_without_any_left_a_failure_is_said(self, tmp_path):
+    async def test_reports_a_failure_without_budget(self, tmp_path):
         settings = {"retry_share": 0.0}
         async with Cluster(
             tmp_path, services=0, engines=2, settings=settings
@@ -33,7 +33,7 @@
             assert (await task).outcome == "failed"
             cluster.check()
 
-    async def test_a_leaving_target_costs_none(self, tmp_path):
+    async def test_a_leaving_target_uses_no_budget(self, tmp_path):
         settings = {"retry_share": 0.0}
         async with Cluster(tmp_path, instances=1, settings=settings) as cluster:
             await cluster.control("service-0", leaving=True)
--- a/tests/test_saturated_plain_service.py
+++ b/tests/test_saturated_plain_service.py
@@ -1,9 +1,9 @@
-"""A plain service that is asked for more than it can do, for long.
+"""A plain service under sustained overload.
 
-Three targets with six slots each are asked for 1.6 times what they do, for 20 s; late
-answers are worth half. First come, first served, all that is served waits to the edge
-of its patience. If that is a time in which only the mean run ends, one answer in four
-is late, and took the slot of one that would be in time.
+Three targets with six slots each receive 1.6 times their capacity for 20 s; a late
+answer counts half. First come, first served, every served request waits until close to
+its deadline. If that deadline leaves time only for a mean run, one answer in four is
+late and took the slot of a request that could be served in time.
 """
 
 import heapq
@@ -20,89 +20,94 @@
 
 SPEEDS = (0.8, 1.0, 1.6)
 SLOTS = 6
-MEAN_S, SPREAD = 0.072, 0.5
+MEAN_SERVICE_S, SERVICE_SPREAD = 0.072, 0.5
 OBJECTIVE_S, DEADLINE_S = 0.358, 1.58
-LENGTH_S = 20.0
-OVERLOAD = 1.6
-LATE_WORTH = 0.5
+DURATION_S = 20.0
+LOAD_FACTOR = 1.6
+LATE_VALUE = 0.5
 TICK_S = 0.05
 
 
 class SaturatedService:
-    """Callers, who come back once when refused, and targets around a dispatcher."""
+    """Targets and a dispatcher with callers that retry once after a refusal."""
 
     def __init__(self, seed, switches=ALL_ON):
         targets = {f"t{n}": PlannedTarget(SLOTS) for n in range(len(SPEEDS))}
         plan = Plan({"p": PlannedPool(False, targets=targets)})
         self.dispatcher = SlotDispatcher("p", plan, switches=switches)
         self.dispatcher.handle(m.Recovered(), 0.0)
-        self.draw = random.Random(seed)
-        self.events, self.ticket = [], itertools.count()
+        self.generator = random.Random(seed)
+        self.events, self.sequence = [], itertools.count()
         self.counts = Counter()
-        self.began, self.tries = {}, {}
+        self.received, self.attempts = {}, {}
 
     def at(self, moment, action, *args):
-        heapq.heappush(self.events, (moment, next(self.ticket), action, args))
+        heapq.heappush(self.events, (moment, next(self.sequence), action, args))
 
-    def play(self):
-        rate = OVERLOAD * sum(SLOTS / (MEAN_S * speed) for speed in SPEEDS)
+    def run(self):
+        rate = LOAD_FACTOR * sum(SLOTS / (MEAN_SERVICE_S * speed) for speed in SPEEDS)
         moment = 0.0
-        while (moment := moment + self.draw.expovariate(rate)) < LENGTH_S:
-            self.at(moment, self.come, next(self.ticket), moment)
-        for tick in range(int(LENGTH_S / TICK_S)):
-            self.at(tick * TICK_S, self.feed, m.Tick())
+        while (moment := moment + self.generator.expovariate(rate)) < DURATION_S:
+            self.at(moment, self.arrive, next(self.sequence), moment)
+        for tick in range(int(DURATION_S / TICK_S)):
+            self.at(tick * TICK_S, self.handle_message, m.Tick())
         while self.events:
-            self.now, _ticket, action, args = heapq.heappop(self.events)
+            self.now, _sequence, action, args = heapq.heappop(self.events)
             action(*args)
         return self
 
-    def come(self, number, began):
-        self.tries[number] = self.tries.get(number, 0) + 1
-        ask = f"{number}.{self.tries[number]}"
-        self.began[ask] = number, began
+    def arrive(self, number, received):
+        self.attempts[number] = self.attempts.get(number, 0) + 1
+        ask = f"{number}.{self.attempts[number]}"
+        self.received[ask] = number, received
         now = self.now
-        self.feed(
+        self.handle_message(
             m.Ask(
                 m.Work(
                     ask, ask, "i", "c", "0", 0, 0, 1, now + OBJECTIVE_S / 4, now,
-                    due=now + OBJECTIVE_S, ends=began + DEADLINE_S,
+                    due=now + OBJECTIVE_S, ends=received + DEADLINE_S,
                 )
             )
         )  # fmt: skip
 
-    def feed(self, message):
-        for taken in self.dispatcher.handle(message, self.now):
-            number, began = self.began[taken.work.ask]
-            if isinstance(taken, m.Grant):
-                seconds = self.draw.lognormvariate(-(SPREAD**2) / 2, SPREAD) * MEAN_S
-                seconds *= SPEEDS[int(taken.target[1:])]
-                self.at(self.now + seconds, self.end, taken.work.ask)
-            elif isinstance(taken, m.Refuse):
-                left = (began + DEADLINE_S - self.now) / 3
-                if self.tries[number] > 1 or left <= 0:
+    def handle_message(self, message):
+        for decision in self.dispatcher.handle(message, self.now):
+            number, received = self.received[decision.work.ask]
+            if isinstance(decision, m.Grant):
+                seconds = (
+                    self.generator.lognormvariate(
+                        -(SERVICE_SPREAD**2) / 2, SERVICE_SPREAD
+                    )
+                    * MEAN_SERVICE_S
+                )
+                seconds *= SPEEDS[int(decision.target[1:])]
+                self.at(self.now + seconds, self.finish, decision.work.ask)
+            elif isinstance(decision, m.Refuse):
+                left = (received + DEADLINE_S - self.now) / 3
+                if self.attempts[number] > 1 or left <= 0:
                     self.counts["refused"] += 1
                 else:
-                    back = self.now + min(taken.retry_after, left)
-                    self.at(back, self.come, number, began)
+                    retry_at = self.now + min(decision.retry_after, left)
+                    self.at(retry_at, self.arrive, number, received)
 
-    def end(self, ask):
-        _number, began = self.began[ask]
-        late = self.now > began + OBJECTIVE_S
+    def finish(self, ask):
+        _number, received = self.received[ask]
+        late = self.now > received + OBJECTIVE_S
         self.counts["late" if late else "in time"] += 1
-        self.feed(m.Finished(ask, m.Outcome.DONE))
+        self.handle_message(m.Finished(ask, m.Outcome.DONE))
 
     @property
-    def worth(self):
-        earned = self.counts["in time"] + LATE_WORTH * self.counts["late"]
-        return earned / self.counts.total()
+    def mean_value(self):
+        value = self.counts["in time"] + LATE_VALUE * self.counts["late"]
+        return value / self.counts.total()
 
 
 class TestSaturatedPlainService:
     @pytest.mark.parametrize("seed", [1, 2, 3])
     def test_fewer_answers_are_late_and_more_in_time(self, seed):
         mean_only = Switches.without("service_times")
-        before = SaturatedService(seed, mean_only).play()
-        after = SaturatedService(seed).play()
+        before = SaturatedService(seed, mean_only).run()
+        after = SaturatedService(seed).run()
         assert after.counts["late"] < before.counts["late"]
         assert after.counts["in time"] > before.counts["in time"]
-        assert after.worth > before.worth
+        assert after.mean_value > before.mean_value
--- a/tests/test_short_requests_in_overload.py
+++ b/tests/test_short_requests_in_overload.py
@@ -1,8 +1,8 @@
-"""Short requests of the lowest rank, while long ones of the others fill all engines.
+"""Short requests of the lowest rank while long requests of other ranks fill all slots.
 
-A short request takes a tenth of what a long one does. Refused as often as the order by
-rank says, next to nothing was gained for the others; granted as often as the rank above
-it, it costs that one hardly anything.
+A short request takes a tenth of a long one's time. With strict priority short requests
+were refused with next to no gain for the other ranks; granting them as often as the
+rank above costs that rank hardly anything.
 """
 
 import pytest
@@ -28,11 +28,11 @@
         runs = [PoolEmulator(OVERLOAD, seed, switches).run() for seed in (1, 2, 3)]
         return [sum(run.share_served(r) for run in runs) / 3 for r in range(3)]
 
-    def test_for_each_long_one_that_is_refused_two_more_are_served(self):
+    def test_serves_two_more_for_each_long_one_refused(self):
         before = self._shares(Switches.without("short_ranks"))
         after = self._shares(ALL_ON)
         pairs = zip(KINDS, before, after, strict=True)
-        gained = [kind.rate * (now - then) for kind, then, now in pairs]
+        gained = [kind.rate * (new - old) for kind, old, new in pairs]
         assert gained[2] > -2 * (gained[0] + gained[1])
         assert after[2] <= after[1] + 0.05
 
@@ -40,20 +40,24 @@
 class TestFloorOfShortRequests:
     def _floor(self, seconds, **options):
         floor = RankFloor(**options)
-        for rank, taken, granted in ((0, 1.35, 38), (1, 0.9, 20), (2, seconds, 14)):
+        for rank, service_seconds, granted in (
+            (0, 1.35, 38),
+            (1, 0.9, 20),
+            (2, seconds, 14),
+        ):
             for _ in range(40):
-                floor.record_request(rank, 1.0, taken)
+                floor.record_request(rank, 1.0, service_seconds)
             for _ in range(granted):
                 floor.record_grant(rank, 1.0)
         return floor
 
-    def test_they_are_owed_as_much_as_the_rank_above(self):
+    def test_short_requests_get_the_share_of_the_rank_above(self):
         assert self._floor(0.1).underserved(1.0) == [2]
 
-    def test_long_ones_are_not(self):
+    def test_long_requests_do_not(self):
         assert self._floor(0.9).underserved(1.0) == []
 
-    def test_nor_any_where_it_is_off(self):
+    def test_none_when_disabled(self):
         assert self._floor(0.1, protect_short=False).underserved(1.0) == []
 
     @pytest.mark.parametrize("granted", [20, 24, 40])
--- a/tests/test_suspect_runs.py
+++ b/tests/test_suspect_runs.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.suspect_runs: suspected requests are kept apart."""
+"""Tests of hibiscusstep.routing.suspect_runs: isolation of suspected requests."""
 
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
@@ -23,23 +23,23 @@
     return {d.work.ask: d.target for d in decisions if isinstance(d, m.Grant)}
 
 
-class TestSuspects:
-    def test_two_never_run_beside_each_other(self):
-        """One of them may be sound: the next crash must not count against it."""
+class TestSuspectedRequests:
+    def test_never_share_a_target(self):
+        """One of them may be harmless: the next crash must not count against it."""
         dispatcher = _dispatcher(2)
         placed = _ask(dispatcher, "a", 7) | _ask(dispatcher, "b", 8)
         assert len(set(placed.values())) == 2
         assert _ask(dispatcher, "c", 9) == {}
 
-    def test_the_same_runs_once_at_a_time(self):
-        """Whatever it does, it does to one target before it is known."""
+    def test_same_request_runs_on_one_target_at_a_time(self):
+        """It can crash only one target before that crash is known."""
         dispatcher = _dispatcher(3)
         assert _ask(dispatcher, "a", 7)
         assert _ask(dispatcher, "again", 7) == {}
         done = m.Finished("a", m.Outcome.DONE, 10)
         assert _grants(dispatcher.handle(done, 2.0)).keys() == {"again"}
 
-    def test_others_run_as_ever(self):
+    def test_do_not_restrict_other_requests(self):
         dispatcher = _dispatcher(2)
         _ask(dispatcher, "a", 7)
         _ask(dispatcher, "b", 8)
@@ -48,13 +48,13 @@
             granted |= _ask(dispatcher, f"sound{number}")
         assert len(granted) == 6
 
-    def test_one_that_waits_holds_up_nobody(self):
+    def test_do_not_block_other_requests_while_queued(self):
         dispatcher = _dispatcher(1)
         _ask(dispatcher, "a", 7)
         _ask(dispatcher, "waits", 8)
         assert _ask(dispatcher, "sound").keys() == {"sound"}
 
-    def test_many_that_wait_hold_up_nobody(self):
+    def test_many_do_not_block_other_requests_while_queued(self):
         dispatcher = _dispatcher(1)
         _ask(dispatcher, "a", 7)
         for number in range(3):
@@ -66,8 +66,8 @@
         assert _grants(dispatcher.handle(done, 2.0)).keys() == {"sound"}
 
 
-class TestTargetsThatWantNothing:
-    def test_are_not_granted_to_the_instance_that_they_told(self):
+class TestRestingTargets:
+    def test_are_not_granted_to_the_instance_that_reported_them(self):
         dispatcher = _dispatcher(2)
         work = m.Work(
             "a", "a", "i", "c", "0", 0, 500, 100, 100.0, 1.0, resting=("t0",)
