--- a/hibiscusstep/routing/slot_choice.py
+++ b/hibiscusstep/routing/slot_choice.py
@@ -233,21 +233,21 @@
         values that do not depend on the target are computed before the loop.
         """
         prefill = self._model.prefill_seconds(work.prompt_tokens)
-        reading = prefill + self._model.first
+        until_first_token = prefill + self._model.first
         due = work.due or math.inf
         ends, decoding = math.inf, 0.0
         if work.ends and self._switches.answer_end:
             ends = work.ends
             decoding = self._answer_lengths.upper_bound(work.output_tokens) * STEP_S
         steps, max_prefill = (self._tokens_per_event * STEP_S, self._prefill_chunk.most)
-        longest = MAX_PAUSE_SHARE * self._max_pause
+        pause_limit = MAX_PAUSE_SHARE * self._max_pause
         for target in targets:
-            slowness, left = target.slowness, target.remaining_prefill(now)
-            first = now + slowness * (left + reading)
+            slowness, pending = target.slowness, target.remaining_prefill(now)
+            first = now + slowness * (pending + until_first_token)
             if first > due or first + slowness * decoding > ends:
                 continue
-            pause = slowness * (steps + min(max_prefill, left + prefill))
-            if pause <= longest or not target.running:
+            pause = slowness * (steps + min(max_prefill, pending + prefill))
+            if pause <= pause_limit or not target.running:
                 return True
         return False
 
--- a/hibiscusstep/routing/slot_queue.py
+++ b/hibiscusstep/routing/slot_queue.py
@@ -52,9 +52,9 @@
         """Iterate over the queued requests in order."""
         return (entry[-1] for entry in self._order)
 
-    def __getitem__(self, place: int) -> Work:
+    def __getitem__(self, position: int) -> Work:
         """Return the request at a position of the queue."""
-        return self._order[place][-1]
+        return self._order[position][-1]
 
     def get(self, ask: str) -> Work | None:
         """Return a queued request; None if it is not queued."""
@@ -63,21 +63,21 @@
 
     def first_of_rank(self, rank: int) -> Work | None:
         """Return the first request of a rank; None if there is none."""
-        place = self._order.bisect_left((rank,))
-        if place == len(self._order) or self._order[place][0] != rank:
+        position = self._order.bisect_left((rank,))
+        if position == len(self._order) or self._order[position][0] != rank:
             return None
-        return self._order[place][-1]
+        return self._order[position][-1]
 
     def priority_classes(self) -> list[tuple[int, bool]]:
         """Return the classes (rank, whether late) used so far, the last first."""
         return sorted(self._backlog, reverse=True)
 
-    def last_of_class(self, place: tuple[int, bool]) -> Work | None:
+    def last_of_class(self, priority: tuple[int, bool]) -> Work | None:
         """Return the last request of a class; None if there is none."""
-        after = self._order.bisect_left((*place, math.inf))
-        if not after or self._order[after - 1][:2] != place:
+        end_index = self._order.bisect_left((*priority, math.inf))
+        if not end_index or self._order[end_index - 1][:2] != priority:
             return None
-        return self._order[after - 1][-1]
+        return self._order[end_index - 1][-1]
 
     def position_in_rank(self, ask: str) -> int:
         """Return the number of requests of the same rank before a queued request."""
@@ -126,8 +126,10 @@
         before count, since few requests of its class are behind it.
         """
         queued = self._by_ask[ask]
-        own = queued.entry[:2]
-        total = sum(cost for place, cost in self._backlog.items() if place <= own)
+        own_class = queued.entry[:2]
+        total = sum(
+            cost for priority, cost in self._backlog.items() if priority <= own_class
+        )
         return max(0.0, total - queued.cost)
 
     def deadline(self, ask: str) -> float:
--- a/hibiscusstep/routing/slot_target.py
+++ b/hibiscusstep/routing/slot_target.py
@@ -124,13 +124,13 @@
 
     def add(self, ask: str, run: Run) -> None:
         """Add a granted request."""
-        reading = [other for other in self.running.values() if not other.began]
-        for other in reading:
+        prefilling = [other for other in self.running.values() if not other.began]
+        for other in prefilling:
             other.alone = False
-        to_read = self.remaining_prefill(run.granted) + run.prefill
+        pending_prefill = self.remaining_prefill(run.granted) + run.prefill
         for other in self.running.values():
-            other.beside = max(other.beside, to_read)
-        run.alone = not reading
+            other.beside = max(other.beside, pending_prefill)
+        run.alone = not prefilling
         self.running[ask] = run
         run.loaded = len(self.running) >= LOADED_SHARE * self.slots
         self._invalidate()
--- a/hibiscusstep/routing/slots.py
+++ b/hibiscusstep/routing/slots.py
@@ -103,7 +103,7 @@
         self._service_rate = 0.0
         self._service_rate_updated_at = -math.inf
         self._partition = VersionPartition(self._selector, bool(alone))
-        # A dict lookup: functools.singledispatchmethod costs 7 us per message.
+        # A dict lookup: a dispatching decorator costs 7 us per message.
         self._handlers = {
             m.Ask: self._enqueue,
             m.Withdraw: self._withdraw,
@@ -196,10 +196,10 @@
         if self._switches.late_last:
             work = self._refused_requests.with_original_due(work, now)
         # Seconds until the request would be served at an idle target.
-        reach_seconds = (
-            self._selector.min_slowness * self._selector.first_token_seconds(work)
+        idle_seconds = self._selector.min_slowness * self._selector.first_token_seconds(
+            work
         )
-        late = self._switches.late_last and 0 < work.due < now + reach_seconds
+        late = self._switches.late_last and 0 < work.due < now + idle_seconds
         bound = self._selector.serve_time_bound(work)
         deadline = wait_deadline(work, bound, late, self._switches)
         self._queue.add(work, self._selector.service_seconds(work), deadline, late)
@@ -394,8 +394,8 @@
     ) -> tuple[list[SlotTarget], list[SlotTarget]]:
         """Return the available targets for a request, and those worth waiting for."""
         if self._target_subset is None:
-            order = self._partition.serving
-            return order.candidates(work.data_centre, now), order.fastest(now)
+            index = self._partition.serving
+            return index.candidates(work.data_centre, now), index.fastest(now)
         if now >= self._subset_updated_at + RATE_UPDATE_INTERVAL_S:
             self._subset_updated_at = now
             self._subset_targets = self._target_subset.choose(
--- a/tests/test_own_targets.py
+++ b/tests/test_own_targets.py
@@ -47,7 +47,7 @@
 
 
 class TestStandaloneInstance:
-    """After a restart of all, instances with equal stored estimates act alike."""
+    """After a restart of all, all instances start with the same stored estimates."""
 
     def _granted(self, instance, asks=1):
         targets = {f"t{n}": PlannedTarget(5) for n in range(30)}
