--- a/hibiscusstep/routing/run_watch.py
+++ b/hibiscusstep/routing/run_watch.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.run_watch: granted requests, and when each should have ended."""
+"""hibiscusstep.routing.run_watch: detection of granted requests that never ended."""
 
 import heapq
 import itertools
@@ -8,25 +8,26 @@
 
 from hibiscusstep.routing.messages import Lost
 
-__all__ = ["LostRuns", "RunWatch", "Suspects"]
+__all__ = ["CheckResult", "GrantMonitor", "LostRequests"]
 
-# An instance that lives answers within some milliseconds, on a busy half of a core in
-# 0.2 s.
-ANSWER_S = 0.5
-# What an instance says that it still holds is asked for again after this: with the time
-# for an answer, one that is lost then holds a slot for a second more at the most.
-ASK_AGAIN_S = 0.5
-# Checked every 0.05 s; after a gap of so much this process was paused itself, and the
-# answers to what it asked may wait to be read.
-PAUSED_S = 0.25
-# An instance that was cut off for less than this may still tell that it holds what was
-# taken for lost.
-LOST_VALID_S = 6.0
+# Timeout of an instance's answer: it takes some milliseconds, and 0.2 s on a busy half
+# of a core.
+ANSWER_TIMEOUT_S = 0.5
+# Interval after which an instance that confirmed a request is asked about it again.
+# With the timeout of the answer, a request lost meanwhile holds its slot for at most
+# one more second.
+INQUIRY_INTERVAL_S = 0.5
+# Checks run every 0.05 s. After a longer gap than this the dispatcher's own process was
+# paused, and answers to its inquiries may still be unread.
+PAUSE_THRESHOLD_S = 0.25
+# An instance that was cut off for less than this may still report that it holds a
+# request that was considered lost.
+LOST_RETENTION_S = 6.0
 
 
 @dataclass(slots=True)
-class _Watched:
-    """A granted request: its instance, and when it is looked at next."""
+class _MonitoredGrant:
+    """A granted request: its instance and the time of its next check."""
 
     instance: str
     at: float
@@ -35,119 +36,120 @@
 
 
 @dataclass(slots=True)
-class Suspects:
-    """What a check found.
+class CheckResult:
+    """Result of a check.
 
     Parameters
     ----------
     instances : set of str
-        To be asked what they still hold.
+        Instances to ask for the requests that they hold.
     lost : list of str
-        Asks of requests that their instances were asked for in vain.
+        Asks of requests that their instances did not confirm.
     """
 
     instances: set[str] = field(default_factory=set)
     lost: list[str] = field(default_factory=list)
 
 
-class RunWatch:
-    """Tells which granted requests are overdue, and which of those are lost.
+class GrantMonitor:
+    """Monitor of granted requests that finds overdue and lost ones.
 
-    An instance that loses its power tells no end, and in a large region nobody else
-    tells its death for seconds. Who holds a request past the time at which nearly all
-    have ended is asked; who does not answer holds it no more, as far as its target is
-    concerned, since the target has ended it by then. With 33 of 195 instances lost, a
-    quarter of a pool's slots was held for requests that would never end, for 4.5 s.
+    An instance that loses power reports no ends, and in a large region its failure is
+    detected only seconds later. The dispatcher therefore asks an instance about each
+    request that it holds beyond the time at which nearly all such requests have ended.
+    Without an answer the slot is released, since the target has finished the request by
+    then. With 33 of 195 instances lost, a quarter of a pool's slots was held for 4.5 s
+    by requests that never ended.
     """
 
     def __init__(self) -> None:
-        self._watched: dict[str, _Watched] = {}
-        self._of: dict[str, set[str]] = defaultdict(set)
-        self._next: list[tuple[float, int, str]] = []
-        self._tickets = itertools.count()
-        self._checked = 0.0
+        self._grants: dict[str, _MonitoredGrant] = {}
+        self._asks_by_instance: dict[str, set[str]] = defaultdict(set)
+        self._checks: list[tuple[float, int, str]] = []
+        self._sequence = itertools.count()
+        self._checked_at = 0.0
 
     @property
     def overdue(self) -> int:
-        """How many are held past the time at which they should have ended."""
-        return sum(watched.overdue for watched in self._watched.values())
+        """Number of requests held beyond their expected end."""
+        return sum(grant.overdue for grant in self._grants.values())
 
-    def asks_of(self, instance: str) -> set[str]:
-        """Return the asks of the granted requests of an instance."""
-        return set(self._of.get(instance, ()))
+    def asks_of_instance(self, instance: str) -> set[str]:
+        """Return the asks of an instance's granted requests."""
+        return set(self._asks_by_instance.get(instance, ()))
 
-    def watch(self, ask: str, instance: str, ends: float) -> None:
-        """Take note of a grant, and when the request should have ended."""
+    def register(self, ask: str, instance: str, expected_end: float) -> None:
+        """Add a granted request with its expected end."""
         self.forget(ask)
-        self._watched[ask] = _Watched(instance, ends)
-        self._of[instance].add(ask)
-        self._look_at(ask, ends)
+        self._grants[ask] = _MonitoredGrant(instance, expected_end)
+        self._asks_by_instance[instance].add(ask)
+        self._schedule_check(ask, expected_end)
 
     def forget(self, ask: str) -> None:
-        """Take note that a request has ended."""
-        watched = self._watched.pop(ask, None)
-        if watched is None:
+        """Remove a request that has ended."""
+        grant = self._grants.pop(ask, None)
+        if grant is None:
             return
-        held = self._of[watched.instance]
+        held = self._asks_by_instance[grant.instance]
         held.discard(ask)
         if not held:
-            del self._of[watched.instance]
+            del self._asks_by_instance[grant.instance]
 
-    def confirm(self, asks: Iterable[str], now: float) -> None:
-        """Take an instance's word for what it still holds."""
+    def confirm_held(self, asks: Iterable[str], now: float) -> None:
+        """Mark requests as held, as reported by their instance."""
         for ask in asks:
-            watched = self._watched.get(ask)
-            if watched and watched.asked:
-                watched.asked = False
-                self._look_at(ask, now + ASK_AGAIN_S)
-
-    def check(self, now: float) -> Suspects:
-        """Return whom to ask, and what is lost; the caller forgets that."""
-        paused = now - self._checked > PAUSED_S
-        self._checked = now
+            grant = self._grants.get(ask)
+            if grant and grant.asked:
+                grant.asked = False
+                self._schedule_check(ask, now + INQUIRY_INTERVAL_S)
+
+    def check(self, now: float) -> CheckResult:
+        """Return the instances to ask, and lost requests, which the caller removes."""
+        paused = now - self._checked_at > PAUSE_THRESHOLD_S
+        self._checked_at = now
         if paused:
-            self._wait_again(now)
-        suspects = Suspects()
-        while self._next and self._next[0][0] <= now:
-            at, _ticket, ask = heapq.heappop(self._next)
-            watched = self._watched.get(ask)
-            if watched is None or watched.at != at:
+            self._extend_inquiries(now)
+        result = CheckResult()
+        while self._checks and self._checks[0][0] <= now:
+            at, _number, ask = heapq.heappop(self._checks)
+            grant = self._grants.get(ask)
+            if grant is None or grant.at != at:
                 continue
-            if watched.asked:
-                suspects.lost.append(ask)
+            if grant.asked:
+                result.lost.append(ask)
                 continue
-            watched.overdue = watched.asked = True
-            suspects.instances.add(watched.instance)
-            self._look_at(ask, now + ANSWER_S)
-        return suspects
+            grant.overdue = grant.asked = True
+            result.instances.add(grant.instance)
+            self._schedule_check(ask, now + ANSWER_TIMEOUT_S)
+        return result
 
-    def _wait_again(self, now: float) -> None:
-        """Give all that were asked their time once more."""
-        for ask, watched in self._watched.items():
-            if watched.asked:
-                self._look_at(ask, now + ANSWER_S)
+    def _extend_inquiries(self, now: float) -> None:
+        """Restart the answer timeout of all pending inquiries."""
+        for ask, grant in self._grants.items():
+            if grant.asked:
+                self._schedule_check(ask, now + ANSWER_TIMEOUT_S)
 
-    def _look_at(self, ask: str, at: float) -> None:
-        self._watched[ask].at = at
-        heapq.heappush(self._next, (at, next(self._tickets), ask))
+    def _schedule_check(self, ask: str, at: float) -> None:
+        self._grants[ask].at = at
+        heapq.heappush(self._checks, (at, next(self._sequence), ask))
 
 
-class LostRuns:
-    """What was taken for lost lately, should its instance say that it holds it."""
+class LostRequests:
+    """Requests considered lost recently, in case their instance still holds them."""
 
     def __init__(self) -> None:
         self._lost: OrderedDict[str, tuple[float, Lost]] = OrderedDict()
 
     def add(self, lost: Lost, now: float) -> None:
-        """Remember a request that was taken for lost, and forget the old ones."""
+        """Add a request that is considered lost, and remove expired entries."""
         self._lost[lost.work.ask] = now, lost
-        while next(iter(self._lost.values()))[0] < now - LOST_VALID_S:
+        while next(iter(self._lost.values()))[0] < now - LOST_RETENTION_S:
             self._lost.popitem(last=False)
 
     def forget(self, ask: str) -> None:
-        """Take note that a request has ended."""
+        """Remove a request that has ended."""
         self._lost.pop(ask, None)
 
     def take(self, asks: Iterable[str]) -> list[Lost]:
-        """Return those of some asks that were taken for lost, and forget them."""
+        """Remove and return those of the given asks that were considered lost."""
         return [self._lost.pop(ask)[1] for ask in asks if ask in self._lost]
