--- a/hibiscusstep/policies/__init__.py
+++ b/hibiscusstep/policies/__init__.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.policies: the placement policies, ours and the baselines."""
+"""hibiscusstep.policies: the placement policies by name."""
 
 from hibiscusstep.policies.baselines import (
     FirstComePolicy,
--- a/hibiscusstep/policies/baselines.py
+++ b/hibiscusstep/policies/baselines.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.policies.baselines: simple policies that ours is measured against."""
+"""hibiscusstep.policies.baselines: simple policies for comparison."""
 
 import itertools
 import random
@@ -15,8 +15,8 @@
 ]
 
 
-class _AtOncePolicy(Policy):
-    """Sends every request on as it comes; queues form in the targets."""
+class _ImmediatePolicy(Policy):
+    """Dispatches each request on arrival; requests queue at the targets."""
 
     bounded = False
     tiered = False
@@ -26,50 +26,50 @@
         self._turn = itertools.count()
 
 
-class RandomPolicy(_AtOncePolicy):
-    """Any target."""
+class RandomPolicy(_ImmediatePolicy):
+    """Selects a target at random."""
 
     name = "random"
 
-    def choose(self, work, targets, live, alone):
-        """Return any target."""
+    def choose(self, work, targets, usable_targets, urgent):
+        """Return a random target."""
         return self._random.choice(targets)
 
 
-class RoundRobinPolicy(_AtOncePolicy):
-    """One target after the other."""
+class RoundRobinPolicy(_ImmediatePolicy):
+    """Selects the targets in turn."""
 
     name = "round-robin"
 
-    def choose(self, work, targets, live, alone):
+    def choose(self, work, targets, usable_targets, urgent):
         """Return the next target in turn."""
         return targets[next(self._turn) % len(targets)]
 
 
-class LeastLoadPolicy(_AtOncePolicy):
-    """The target that last reported the least load."""
+class LeastLoadPolicy(_ImmediatePolicy):
+    """Selects the target with the least reported load."""
 
     name = "least-load"
 
-    def choose(self, work, targets, live, alone):
-        """Return a target of the least reported load, ties at random."""
+    def choose(self, work, targets, usable_targets, urgent):
+        """Return a target with the least reported load; break ties at random."""
         least = min(target.reported for target in targets)
         return self._random.choice([t for t in targets if t.reported == least])
 
 
-class TwoChoicesPolicy(_AtOncePolicy):
-    """The less loaded, as reported, of two random targets."""
+class TwoChoicesPolicy(_ImmediatePolicy):
+    """Selects the target with the lower reported load of two random ones."""
 
     name = "two-choices"
 
-    def choose(self, work, targets, live, alone):
-        """Return the better of two drawn targets."""
-        drawn = self._random.sample(targets, min(2, len(targets)))
-        return min(drawn, key=lambda target: target.reported)
+    def choose(self, work, targets, usable_targets, urgent):
+        """Return the less loaded of two random targets."""
+        sampled = self._random.sample(targets, min(2, len(targets)))
+        return min(sampled, key=lambda target: target.reported)
 
 
 class FirstComePolicy(Policy):
-    """One queue in order of arrival, tiers unseen; the target running fewest."""
+    """First come, first served without tiers, on the least occupied target."""
 
     name = "first-come"
     aliases = ("fcfs",)
@@ -78,13 +78,13 @@
     def __init__(self, seed: int = 0) -> None:
         pass
 
-    def choose(self, work, targets, live, alone):
-        """Return the target with the smallest share of its places taken."""
+    def choose(self, work, targets, usable_targets, urgent):
+        """Return the target with the smallest fraction of its slots occupied."""
         return min(targets, key=lambda target: len(target.running) / target.max_running)
 
 
 class StrictPriorityPolicy(FirstComePolicy):
-    """Like first-come within a tier, higher tiers first; no estimates."""
+    """Higher tiers first, and first come, first served within a tier."""
 
     name = "strict-priority"
     aliases = ()
--- a/hibiscusstep/policies/expected_work.py
+++ b/hibiscusstep/policies/expected_work.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.policies.expected_work: place by learnt speed and expected work."""
+"""hibiscusstep.policies.expected_work: placement by expected completion time."""
 
 import math
 from statistics import median
@@ -9,22 +9,23 @@
 __all__ = ["ExpectedWorkPolicy", "PrefixAffinityPolicy"]
 
 LONG_SHARE = 0.5
-SHORT_PLACES = 1
+RESERVED_SHORT_SLOTS = 1
 URGENT_LONG_SHARE = 0.7
 
 
 class ExpectedWorkPolicy(Policy):
-    """Earliest expected end; long prompts are kept off part of the targets.
+    """Selects the earliest expected end and keeps some targets free of long prompts.
 
-    A prompt whose prefill takes over `LONG_PREFILL_S` is long. One long prefill
-    runs on a target at a time, on at most `LONG_SHARE` of the targets, and leaves
-    `SHORT_PLACES` of a target free; short prompts wait rather than queue behind one:
-    they would not start sooner there. Urgent long prompts are bound less.
+    A prompt is long if its prefill takes more than `LONG_PREFILL_S`. A target runs one
+    long prefill at a time, at most `LONG_SHARE` of the targets run one, and each of
+    these keeps `RESERVED_SHORT_SLOTS` slots free. Short prompts wait rather than queue
+    behind a long prefill, because they would not start sooner there. The limits are
+    weaker for urgent long prompts.
 
     Parameters
     ----------
     seed : int
-        Unused; the policies share one signature.
+        Unused; all policies have the same signature.
     """
 
     name = "expected-work"
@@ -35,75 +36,80 @@
     def __init__(self, seed: int = 0) -> None:
         pass
 
-    def long(self, work, targets):
-        """Whether the whole prefill takes long on a typical target."""
+    def is_long(self, work, targets):
+        """Whether a full prefill takes long at the median prefill rate."""
         if not targets:
             return False
         rate = median(target.prefill_rate for target in targets)
         return work.prompt_tokens / rate > LONG_PREFILL_S
 
-    def choose(self, work, targets, live, alone):
-        """Return the target of the earliest expected end that may take the work."""
-        allowed = self._allowed(work, targets, live, alone)
+    def choose(self, work, targets, usable_targets, urgent):
+        """Return the allowed target with the lowest cost, or None."""
+        allowed = self._allowed(work, targets, usable_targets, urgent)
         if not allowed:
             return None
-        if not alone and self._better_cached_elsewhere(work, allowed, live):
+        if not urgent and self._better_cached_elsewhere(work, allowed, usable_targets):
             return None
         return min(allowed, key=lambda target: self._cost(work, target))
 
-    def _allowed(self, work, targets, live, alone):
-        clear = [target for target in targets if not target.held_up]
-        if not self._long_here(work, targets):
-            return clear or self._sooner_than_waiting(work, targets, live)
-        if not alone:
-            clear = [target for target in clear if _keeps_short_places(target)]
-        busy = sum(1 for target in live if target.held_up)
-        share = URGENT_LONG_SHARE if alone else LONG_SHARE
-        spare = len(clear) - 1 if alone else 0
-        if busy >= max(1, math.floor(len(live) * share)) and spare < 1:
+    def _allowed(self, work, targets, usable_targets, urgent):
+        unblocked = [target for target in targets if not target.prefill_blocked]
+        if not self._is_long_uncached(work, targets):
+            return unblocked or self._sooner_than_unblocked(
+                work, targets, usable_targets
+            )
+        if not urgent:
+            unblocked = [target for target in unblocked if _keeps_short_slots(target)]
+        blocked_count = sum(1 for target in usable_targets if target.prefill_blocked)
+        max_blocked_share = URGENT_LONG_SHARE if urgent else LONG_SHARE
+        extra_unblocked = len(unblocked) - 1 if urgent else 0
+        if (
+            blocked_count >= max(1, math.floor(len(usable_targets) * max_blocked_share))
+            and extra_unblocked < 1
+        ):
             return []
-        return clear
+        return unblocked
 
-    def _sooner_than_waiting(self, work, targets, live):
-        """Return the held-up targets that begin sooner than a clear one is free."""
+    def _sooner_than_unblocked(self, work, targets, usable_targets):
+        """Return the targets that start it before an unblocked one has a free slot."""
         waits = [
             run.predicted_first + run.work.output_tokens / target.decode_rate
-            for target in live
-            if not target.held_up
+            for target in usable_targets
+            if not target.prefill_blocked
             for run in target.running.values()
         ]
-        mean = sum(waits) / len(waits) / len(waits) if waits else math.inf
-        return [t for t in targets if t.seconds_to_first(work) < mean]
+        expected_wait = sum(waits) / len(waits) / len(waits) if waits else math.inf
+        return [t for t in targets if t.seconds_to_first(work) < expected_wait]
 
-    def _long_here(self, work, targets):
+    def _is_long_uncached(self, work, targets):
         return all(
             (work.prompt_tokens - target.cached_tokens(work)) / target.prefill_rate
             > LONG_PREFILL_S
             for target in targets
         )
 
-    def _better_cached_elsewhere(self, work, allowed, live):
-        """Whether a target without room has so much of a long prompt that it waits."""
-        best = max(target.cached_tokens(work) for target in allowed)
-        most = max(target.cached_tokens(work) for target in live)
-        rate = median(target.prefill_rate for target in live)
-        return (most - best) / rate > LONG_PREFILL_S
+    def _better_cached_elsewhere(self, work, allowed, usable_targets):
+        """Whether another target has so much more of it cached that it should wait."""
+        best_allowed = max(target.cached_tokens(work) for target in allowed)
+        best_anywhere = max(target.cached_tokens(work) for target in usable_targets)
+        rate = median(target.prefill_rate for target in usable_targets)
+        return (best_anywhere - best_allowed) / rate > LONG_PREFILL_S
 
     def _cost(self, work, target):
         uncached = work.prompt_tokens - target.cached_tokens(work)
-        harm = len(target.running) * uncached / target.prefill_rate
-        return target.seconds_to_end(work) + harm
+        delay_to_others = len(target.running) * uncached / target.prefill_rate
+        return target.seconds_to_end(work) + delay_to_others
 
 
 class PrefixAffinityPolicy(ExpectedWorkPolicy):
-    """Like expected-work, but a cached prefix elsewhere is never waited for."""
+    """Like expected-work, but never waits for a target with a cached prefix."""
 
     name = "prefix-affinity"
     aliases = ()
 
-    def _better_cached_elsewhere(self, work, allowed, live):
+    def _better_cached_elsewhere(self, work, allowed, usable_targets):
         return False
 
 
-def _keeps_short_places(target) -> bool:
-    return target.free > min(SHORT_PLACES, target.max_running - 1)
+def _keeps_short_slots(target) -> bool:
+    return target.free > min(RESERVED_SHORT_SLOTS, target.max_running - 1)
--- a/hibiscusstep/policy.py
+++ b/hibiscusstep/policy.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.policy: how a pool orders its waiting requests and picks a target."""
+"""hibiscusstep.policy: the interface of placement policies."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
@@ -10,7 +10,7 @@
 
 
 class Policy(ABC):
-    """One way of placing requests.
+    """A rule that orders waiting requests and selects their targets.
 
     Attributes
     ----------
@@ -21,9 +21,9 @@
     tiered : bool
         Whether higher tiers go first and are shed last.
     fair : bool
-        Whether customers share by cost and short work goes before long.
+        Whether customers share fairly by cost and short requests go before long ones.
     refuses_early : bool
-        Whether work that cannot meet its deadline is refused on arrival.
+        Whether requests that cannot meet their deadline are refused on arrival.
     """
 
     name: str
@@ -32,8 +32,8 @@
     fair = False
     refuses_early = False
 
-    def long(self, work: Work, targets: Sequence[TargetState]) -> bool:
-        """Whether the work would hold up its neighbours; long work queues apart."""
+    def is_long(self, work: Work, targets: Sequence[TargetState]) -> bool:
+        """Whether the request delays others on its target; if so it queues apart."""
         return False
 
     @abstractmethod
@@ -41,21 +41,21 @@
         self,
         work: Work,
         targets: Sequence[TargetState],
-        live: Sequence[TargetState],
-        alone: bool,
+        usable_targets: Sequence[TargetState],
+        urgent: bool,
     ) -> TargetState | None:
-        """Return the target for a request, or None to let it wait.
+        """Return the target for a request, or None if it should wait.
 
         Parameters
         ----------
         work : Work
             The request.
         targets : sequence of TargetState
-            Those that have room for it; at least one.
-        live : sequence of TargetState
-            All that take work at present, those without room too.
-        alone : bool
-            Whether the bounds that only spare others must give way.
+            Targets with a free slot; at least one.
+        usable_targets : sequence of TargetState
+            All targets that accept requests, including those without a free slot.
+        urgent : bool
+            Whether to ignore the limits that only protect other requests.
         """
 
 
--- a/hibiscusstep/routing/base.py
+++ b/hibiscusstep/routing/base.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.base: what every dispatcher of a pool has and does."""
+"""hibiscusstep.routing.base: the interface of a pool's dispatcher."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -13,9 +13,9 @@
 class PoolCounts:
     """Totals of a dispatcher since its start.
 
-    `refused_with_room` counts refusals for load while a target had a free place and
-    was not held up by a long prompt: those may have been needless. `lost` counts
-    granted requests whose end was never told.
+    `refused_with_room` counts refusals for load while a target had a free slot and was
+    not blocked by a long prefill; these refusals may have been unnecessary. `lost`
+    counts granted requests whose end was never reported.
     """
 
     asked: int = 0
@@ -27,23 +27,24 @@
 
 
 class PoolDispatcher(ABC):
-    """Orders the requests of one pool before its targets.
+    """A state machine that assigns the requests of one pool to its targets.
 
-    Pure: `handle` takes a message and a time and returns decisions. Until
-    `Recovered` is handled it neither grants nor refuses, so that a new dispatcher
-    does not decide before it has heard what runs.
+    It does no I/O: `handle` takes a message and a time and returns decisions. It makes
+    no decisions before `Recovered`, so that a new dispatcher first receives the
+    requests that already run.
 
     Parameters
     ----------
     pool_name : str
-        The pool.
+        Name of the pool.
 
     Attributes
     ----------
     counts : PoolCounts
         Totals since the start.
     share : float
-        Part of all places that may be taken at a time; the others use the rest.
+        Fraction of all slots that this dispatcher may occupy at a time; other
+        dispatchers of the pool use the rest.
     """
 
     def __init__(self, pool_name: str) -> None:
@@ -57,12 +58,12 @@
 
     @property
     def pool_name(self) -> str:
-        """The pool."""
+        """Name of the pool."""
         return self._pool_name
 
     @property
     def recovered(self) -> bool:
-        """Whether it decides."""
+        """Whether `Recovered` was handled and decisions are made."""
         return self._recovered
 
     @property
@@ -73,53 +74,53 @@
     @property
     @abstractmethod
     def waiting(self) -> dict[str, int]:
-        """How many wait, by tier."""
+        """Number of waiting requests by tier."""
 
     @property
     def learnt(self) -> m.Learnt | None:
-        """What was learnt, for those that may dispatch next; None if nothing."""
+        """Learned estimates for the next dispatcher; None if there are none."""
         return None
 
     @property
     def overdue(self) -> int:
-        """Places held for requests beyond their expected end; 0 if not known."""
+        """Slots of requests that run past their expected end; 0 if not known."""
         return 0
 
     @property
     def rollout(self) -> Rollout | None:
-        """The order to another version that it carries out; None if there is none."""
+        """The rollout to another version in progress; None if there is none."""
         return None
 
     def instances_waiting(self) -> set[str]:
-        """Return the instances that want to hear that they are not forgotten."""
+        """Return the instances whose waiting requests need a keep-alive message."""
         return set()
 
     def is_waiting(self, ask: str) -> bool:
-        """Whether an ask is still undecided."""
+        """Whether the request with this id is neither granted nor refused yet."""
         return False
 
     def summary(self, now: float) -> dict:
-        """Return the state in short, for the log; empty if there is none."""
+        """Return a summary of the state for the log; empty if there is none."""
         return {}
 
     def status(self) -> dict[str, dict]:
-        """Return what is known of each target, for operators."""
+        """Return the state of each target by name, for operators."""
         return {}
 
     def handle(self, message, now: float) -> list[m.Decision]:
-        """Take one message.
+        """Process one message and return the decisions that follow from it.
 
         Parameters
         ----------
         message : one of the messages of `hibiscusstep.routing.messages`
-            What happened.
+            The event.
         now : float
-            Seconds on a clock that never goes back.
+            Seconds on a monotonic clock.
 
         Returns
         -------
         list of Decision
-            In the order in which they were taken.
+            In the order in which they were made.
         """
         self._decisions = []
         self._take(message, now)
@@ -129,8 +130,8 @@
 
     @abstractmethod
     def _take(self, message, now: float) -> None:
-        """Take note of a message."""
+        """Update the state from a message."""
 
     @abstractmethod
     def _decide(self, message, now: float) -> None:
-        """Grant and refuse what can be decided after a message."""
+        """Make all decisions that are possible after a message."""
--- a/hibiscusstep/routing/dispatcher.py
+++ b/hibiscusstep/routing/dispatcher.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.dispatcher: the decisions of one pool, as a state machine."""
+"""hibiscusstep.routing.dispatcher: the dispatcher of pools with a policy."""
 
 from collections import Counter
 from functools import singledispatchmethod
@@ -10,7 +10,7 @@
 from hibiscusstep.routing.base import PoolDispatcher
 from hibiscusstep.routing.estimate import TargetState
 from hibiscusstep.routing.forecast import MIN_RETRY_AFTER_S, Forecast
-from hibiscusstep.routing.queue import TierQueue, Waiting
+from hibiscusstep.routing.queue import QueuedRequest, TierQueue
 from hibiscusstep.routing.shedding import Shedder
 
 __all__ = ["Dispatcher"]
@@ -18,22 +18,23 @@
 MIN_COST_S = 0.001
 EARLY_REFUSAL_FACTOR = 1.0
 URGENT_S = 0.3
-_ANYONE = Customer(key_hashes=["0" * 64], tier="any")
+_DEFAULT_CUSTOMER = Customer(key_hashes=["0" * 64], tier="any")
 
 
 class Dispatcher(PoolDispatcher):
-    """Orders by tiers and fair shares, by a policy that learns the targets' speeds.
+    """A dispatcher with tiers, fair sharing and a configurable placement policy.
 
     Parameters
     ----------
     pool_name : str
-        The pool.
+        Name of the pool.
     configuration : Configuration
-        What is in force.
+        The configuration in force.
     tier_guard : bool
-        Off only to show what it prevents.
+        Whether lower tiers are shed before higher ones; tests switch it off to show
+        the failure that it prevents.
     seed : int
-        Of the policies that draw.
+        Seed of the policies that choose at random.
     """
 
     def __init__(
@@ -47,20 +48,20 @@
         super().__init__(pool_name)
         self._tier_guard = tier_guard
         self._seed = seed
-        self._tier_of: dict[str, str] = {}
+        self._tier_by_ask: dict[str, str] = {}
         self._queues: dict[str, TierQueue] = {}
-        self._running_of: Counter = Counter()
-        self._doubtful = False
+        self._running_by_customer: Counter = Counter()
+        self._partition_suspected = False
         self._policy: Policy | None = None
         self._configure(configuration)
 
     @property
     def waiting(self) -> dict[str, int]:
-        """How many wait, by tier, the highest first."""
+        """Number of waiting requests by tier, the highest tier first."""
         return {tier: len(queue) for tier, queue in self._queues.items()}
 
     def status(self) -> dict[str, dict]:
-        """Return what is known of each target, for operators."""
+        """Return the state of each target by name, for operators."""
         return {
             target.name: {
                 "running": len(target.running),
@@ -80,31 +81,33 @@
         self._schedule(now)
         self._shed(now)
 
-    def next_due(self) -> float:
-        """Return when the next waiting request would have to be given up."""
-        return min((q.next_due() for q in self._queues.values()), default=float("inf"))
+    def next_latest_start(self) -> float:
+        """Return the earliest latest start of all waiting requests."""
+        return min(
+            (q.next_latest_start() for q in self._queues.values()), default=float("inf")
+        )
 
     @singledispatchmethod
     def _take(self, message, now: float) -> None:
-        raise TypeError(f"no dispatcher message: {message!r}")
+        raise TypeError(f"not a dispatcher message: {message!r}")
 
     @_take.register
     def _ask(self, message: m.Ask, now: float) -> None:
         work = message.work
-        if work.ask in self._tier_of:
+        if work.ask in self._tier_by_ask:
             return
         if work.tier not in self._queues:
             self._refuse_unknown_tier(work)
             return
         self.counts.asked += 1
-        if self._over_limit(work):
+        if self._exceeds_max_waiting(work):
             self._refuse_work(work, m.Reason.CUSTOMER_LIMIT, now)
             return
-        self._tier_of[work.ask] = work.tier
-        item = self._item(work)
-        self._queues[work.tier].add(item)
+        self._tier_by_ask[work.ask] = work.tier
+        queued = self._make_queued(work)
+        self._queues[work.tier].add(queued)
         if self._recovered:
-            self._judge_on_arrival(item, now)
+            self._check_on_arrival(queued, now)
 
     @_take.register
     def _withdraw(self, message: m.Withdraw, now: float) -> None:
@@ -128,7 +131,7 @@
         elif message.outcome in (m.Outcome.UNREACHABLE, m.Outcome.BROKEN):
             target.failed(message.ask, now)
         else:
-            target.forget(message.ask)
+            target.discard(message.ask)
             target.leaving |= message.outcome is m.Outcome.LEAVING
 
     @_take.register
@@ -148,31 +151,31 @@
             target.grant(work, now)
             target.running[work.ask].first = now
             self._placed[work.ask] = message.target
-            self._running_of[work.customer] += 1
+            self._running_by_customer[work.customer] += 1
 
     @_take.register
     def _recover(self, message: m.Recovered, now: float) -> None:
         self._recovered = True
 
     @_take.register
-    def _doubt(self, message: m.Doubt, now: float) -> None:
-        self._doubtful = message.doubtful
+    def _suspect_partition(self, message: m.Doubt, now: float) -> None:
+        self._partition_suspected = message.doubtful
 
     @_take.register
     def _instance_gone(self, message: m.InstanceGone, now: float) -> None:
-        held = [
-            item.work
+        dropped = [
+            queued.work
             for queue in self._queues.values()
-            for item in queue
-            if item.work.instance == message.instance
+            for queued in queue
+            if queued.work.instance == message.instance
         ]
-        held += [
+        dropped += [
             run.work
             for target in self._targets.values()
             for run in target.running.values()
             if run.work.instance == message.instance
         ]
-        for work in held:
+        for work in dropped:
             self._drop(work.ask)
 
     @_take.register
@@ -190,7 +193,7 @@
             for target in self._targets.values():
                 target.drained = True
             return
-        self._choose_policy(pool)
+        self._update_policy(pool)
         self._update_targets(pool)
         self._update_queues()
         self._weights = {n: c.weight for n, c in configuration.customers.items()}
@@ -199,19 +202,19 @@
             configuration, self._queues, self._targets, self._shedder
         )
 
-    def _choose_policy(self, pool: Pool) -> None:
+    def _update_policy(self, pool: Pool) -> None:
         kind = get_policy_by_name(pool.policy)
         if type(self._policy) is kind:
             return
         self._policy = kind(self._seed)
-        waiting = [item for queue in self._queues.values() for item in queue]
+        waiting = [queued for queue in self._queues.values() for queued in queue]
         self._queues = {}
         self._update_queues()
-        for item in waiting:
-            if item.work.tier in self._queues:
-                self._queues[item.work.tier].add(item)
+        for queued in waiting:
+            if queued.work.tier in self._queues:
+                self._queues[queued.work.tier].add(queued)
             else:
-                self._drop_unknown_tier(item)
+                self._drop_unknown_tier(queued)
 
     def _update_targets(self, pool: Pool) -> None:
         for name, target in pool.targets.items():
@@ -230,8 +233,8 @@
         tiers = self._configuration.tiers
         ordered = sorted(tiers, key=lambda name: tiers[name].rank)
         for tier in self._queues.keys() - tiers.keys():
-            for item in self._queues[tier]:
-                self._drop_unknown_tier(item)
+            for queued in self._queues[tier]:
+                self._drop_unknown_tier(queued)
         queues = {
             name: self._queues.get(name) or TierQueue(self._policy.fair, URGENT_S)
             for name in ordered
@@ -239,12 +242,12 @@
         self._queues.clear()
         self._queues.update(queues)
 
-    def _over_limit(self, work: m.Work) -> bool:
-        customer = self._configuration.customers.get(work.customer, _ANYONE)
-        waiting = sum(q.waiting_of(work.customer) for q in self._queues.values())
+    def _exceeds_max_waiting(self, work: m.Work) -> bool:
+        customer = self._configuration.customers.get(work.customer, _DEFAULT_CUSTOMER)
+        waiting = sum(q.waiting_count(work.customer) for q in self._queues.values())
         return waiting >= customer.max_waiting
 
-    def _item(self, work: m.Work) -> Waiting:
+    def _make_queued(self, work: m.Work) -> QueuedRequest:
         targets = list(self._targets.values())
         prefill = [
             (work.prompt_tokens - t.cached_tokens(work)) / t.prefill_rate
@@ -253,105 +256,123 @@
         decode = [work.output_tokens / t.decode_rate for t in targets]
         cost = max(MIN_COST_S, median(prefill or [0.0]) + median(decode or [0.0]))
         latest = work.deadline - median(prefill or [0.0])
-        return Waiting(work, cost, latest, self._policy.long(work, targets))
+        return QueuedRequest(work, cost, latest, self._policy.is_long(work, targets))
 
-    def _usable(self, now: float) -> list[TargetState]:
+    def _usable_targets(self, now: float) -> list[TargetState]:
         return [target for target in self._targets.values() if target.usable(now)]
 
     def _schedule(self, now: float) -> None:
-        live = self._usable(now)
-        while live and any(self._queues.values()):
-            room = [t for t in live if t.free > 0] if self._policy.bounded else live
-            if not room or not self._grant_next(room, live, now):
+        usable_targets = self._usable_targets(now)
+        while usable_targets and any(self._queues.values()):
+            available = (
+                [t for t in usable_targets if t.free > 0]
+                if self._policy.bounded
+                else usable_targets
+            )
+            if not available or not self._grant_next(available, usable_targets, now):
                 return
 
-    def _grant_next(self, room, live, now: float) -> bool:
+    def _grant_next(self, available, usable_targets, now: float) -> bool:
         if not self._policy.tiered:
-            return self._grant_first_come(room, live, now)
-        passed_over = False
+            return self._grant_first_come(available, usable_targets, now)
+        higher_tier_waits = False
         for queue in self._queues.values():
-            for item in queue.candidates(now, self._may_run):
-                if passed_over and not item.work.stoppable and self._tier_guard:
+            for queued in queue.candidates(now, self._below_max_running):
+                if higher_tier_waits and not queued.work.stoppable and self._tier_guard:
                     continue
-                if self._try_grant(item, queue, room, live, now):
+                if self._try_grant(queued, queue, available, usable_targets, now):
                     return True
-            passed_over = passed_over or len(queue) > 0
+            higher_tier_waits = higher_tier_waits or len(queue) > 0
         return False
 
-    def _grant_first_come(self, room, live, now: float) -> bool:
+    def _grant_first_come(self, available, usable_targets, now: float) -> bool:
         heads = [
-            (item.work.received, item, queue)
+            (queued.work.received, queued, queue)
             for queue in self._queues.values()
-            for item in queue.candidates(now, self._may_run)
+            for queued in queue.candidates(now, self._below_max_running)
         ]
         heads.sort(key=lambda head: head[0])
         return any(
-            self._try_grant(item, queue, room, live, now) for _at, item, queue in heads
+            self._try_grant(queued, queue, available, usable_targets, now)
+            for _at, queued, queue in heads
         )
 
-    def _try_grant(self, item: Waiting, queue, room, live, now: float) -> bool:
-        work = item.work
-        if not self._may_run(work.customer):
+    def _try_grant(
+        self, queued: QueuedRequest, queue, available, usable_targets, now: float
+    ) -> bool:
+        work = queued.work
+        if not self._below_max_running(work.customer):
             return False
-        others = [target for target in live if target.name not in work.avoid]
-        allowed = [target for target in others if target in room] if others else room
+        not_avoided = [
+            target for target in usable_targets if target.name not in work.avoid
+        ]
+        allowed = (
+            [target for target in not_avoided if target in available]
+            if not_avoided
+            else available
+        )
         if not allowed:
             return False
-        urgent = item.latest_start - now < URGENT_S
-        target = self._policy.choose(work, allowed, live, urgent)
+        urgent = queued.latest_start - now < URGENT_S
+        target = self._policy.choose(work, allowed, usable_targets, urgent)
         if target is None:
             return False
-        self._grant(item, queue, target, allowed, now)
+        self._grant(queued, queue, target, allowed, now)
         return True
 
-    def _may_run(self, customer: str) -> bool:
-        limit = self._configuration.customers.get(customer, _ANYONE).max_running
-        return self._running_of[customer] < limit
+    def _below_max_running(self, customer: str) -> bool:
+        limit = self._configuration.customers.get(
+            customer, _DEFAULT_CUSTOMER
+        ).max_running
+        return self._running_by_customer[customer] < limit
 
-    def _grant(self, item: Waiting, queue, target, allowed, now: float) -> None:
-        work = item.work
-        weighed = {t.name: round(t.seconds_to_end(work), 3) for t in allowed[:8]}
+    def _grant(self, queued: QueuedRequest, queue, target, allowed, now: float) -> None:
+        work = queued.work
+        candidates_s = {t.name: round(t.seconds_to_end(work), 3) for t in allowed[:8]}
         queue.remove(work.ask)
-        queue.charge(item, self._weights.get(work.customer, 1.0))
-        self._tier_of.pop(work.ask, None)
+        queue.charge(queued, self._weights.get(work.customer, 1.0))
+        self._tier_by_ask.pop(work.ask, None)
         target.grant(work, now)
         self._placed[work.ask] = target.name
-        self._running_of[work.customer] += 1
+        self._running_by_customer[work.customer] += 1
         self.counts.granted += 1
         wait = round(now - work.received, 4)
-        self._decisions.append(m.Grant(work, target.name, wait, weighed))
+        self._decisions.append(m.Grant(work, target.name, wait, candidates_s))
 
-    def _judge_on_arrival(self, item: Waiting, now: float) -> None:
-        """Mark work that cannot meet its deadline as due at once."""
-        if item.latest_start <= item.work.received:
-            self._refuse_item(item, m.Reason.IMPOSSIBLE, now)
+    def _check_on_arrival(self, queued: QueuedRequest, now: float) -> None:
+        """Refuse a new request at once if it cannot meet its deadline."""
+        if queued.latest_start <= queued.work.received:
+            self._refuse_waiting(queued, m.Reason.IMPOSSIBLE, now)
         elif all(t.drained or t.leaving for t in self._targets.values()):
-            self._refuse_item(item, m.Reason.NO_TARGET, now)
-        elif self._policy.refuses_early and not self._doubtful:
-            slack = (item.latest_start - now) * EARLY_REFUSAL_FACTOR
-            if self._forecast.wait(item, self._usable(now), now) > slack:
-                self._give_up(item, now, m.Reason.LOAD)
+            self._refuse_waiting(queued, m.Reason.NO_TARGET, now)
+        elif self._policy.refuses_early and not self._partition_suspected:
+            slack = (queued.latest_start - now) * EARLY_REFUSAL_FACTOR
+            if (
+                self._forecast.expected_wait(queued, self._usable_targets(now), now)
+                > slack
+            ):
+                self._refuse_after_lower_tiers(queued, now, m.Reason.LOAD)
 
     def _shed(self, now: float) -> None:
         for queue in self._queues.values():
             if self._policy.tiered and self._tier_guard:
-                self._make_way(queue, now)
-            for item in queue.overdue(now):
-                if not self._give_up(item, now, m.Reason.DEADLINE):
+                self._stop_for_urgent(queue, now)
+            for queued in queue.overdue(now):
+                if not self._refuse_after_lower_tiers(queued, now, m.Reason.DEADLINE):
                     break
-        self._bound_waiting(now)
+        self._enforce_max_waiting(now)
 
-    def _make_way(self, queue: TierQueue, now: float) -> None:
-        """Stop lower running work for requests that would otherwise be late."""
-        if queue.next_due() - now >= URGENT_S:
+    def _stop_for_urgent(self, queue: TierQueue, now: float) -> None:
+        """Stop running requests of lower tiers for requests that would be late."""
+        if queue.next_latest_start() - now >= URGENT_S:
             return
         urgent = queue.due_before(now + URGENT_S)
-        live = self._usable(now)
+        usable_targets = self._usable_targets(now)
         rank = urgent[0].work.rank
-        if any(target.free > 0 for target in live):
+        if any(target.free > 0 for target in usable_targets):
             return
-        needed = len(urgent) - self._shedder.stopping(rank)
-        for target, run in self._shedder.victims(rank, now)[: max(0, needed)]:
+        to_stop = len(urgent) - self._shedder.stopping(rank)
+        for target, run in self._shedder.victims(rank, now)[: max(0, to_stop)]:
             self._stop(target, run)
 
     def _stop(self, target: TargetState, run) -> None:
@@ -359,70 +380,80 @@
         self.counts.stopped += 1
         self._decisions.append(m.Stop(run.work, target.name))
 
-    def _give_up(self, item: Waiting, now: float, reason: m.Reason) -> bool:
-        """Refuse a request unless lower work has to go first; say whether it went."""
-        if not self._configuration.rule(item.work.tier).may_be_shed:
+    def _refuse_after_lower_tiers(
+        self, queued: QueuedRequest, now: float, reason: m.Reason
+    ) -> bool:
+        """Refuse a request unless lower tiers must yield first; return if refused."""
+        if not self._configuration.rule(queued.work.tier).may_be_shed:
             return False
-        if not self._usable(now) or self._doubtful:
-            known = m.Reason.UNAVAILABLE if self._doubtful else m.Reason.NO_TARGET
-            self._refuse_item(item, known, now)
+        if not self._usable_targets(now) or self._partition_suspected:
+            no_capacity_reason = (
+                m.Reason.UNAVAILABLE
+                if self._partition_suspected
+                else m.Reason.NO_TARGET
+            )
+            self._refuse_waiting(queued, no_capacity_reason, now)
             return True
         if self._policy.tiered and self._tier_guard:
-            for lower in self._shedder.waiting_below(item.work.rank):
-                self._refuse_item(lower, m.Reason.HIGHER_TIER, now)
-            for target, run in self._shedder.victims(item.work.rank, now):
+            for lower in self._shedder.waiting_below(queued.work.rank):
+                self._refuse_waiting(lower, m.Reason.HIGHER_TIER, now)
+            for target, run in self._shedder.victims(queued.work.rank, now):
                 self._stop(target, run)
-            if self._shedder.stopping(item.work.rank):
+            if self._shedder.stopping(queued.work.rank):
                 return False
-        room = (t for t in self._usable(now) if t.free > 0 and not t.held_up)
-        self.counts.refused_with_room += any(room)
-        self._refuse_item(item, reason, now)
+        available = (
+            t for t in self._usable_targets(now) if t.free > 0 and not t.prefill_blocked
+        )
+        self.counts.refused_with_room += any(available)
+        self._refuse_waiting(queued, reason, now)
         return True
 
-    def _bound_waiting(self, now: float) -> None:
+    def _enforce_max_waiting(self, now: float) -> None:
         pool = self._configuration.pools.get(self._pool_name)
         excess = sum(map(len, self._queues.values())) - (
             pool.max_waiting if pool else 0
         )
         for queue in reversed(self._queues.values()):
-            for item in list(queue)[::-1]:
+            for queued in list(queue)[::-1]:
                 if excess <= 0:
                     return
-                if not self._give_up(item, now, m.Reason.LOAD):
+                if not self._refuse_after_lower_tiers(queued, now, m.Reason.LOAD):
                     return
                 excess -= 1
 
-    def _refuse_item(self, item: Waiting, reason: m.Reason, now: float) -> None:
-        queue = self._queues[item.work.tier]
-        if queue.remove(item.work.ask):
-            self._tier_of.pop(item.work.ask, None)
-            self._refuse_work(item.work, reason, now)
+    def _refuse_waiting(
+        self, queued: QueuedRequest, reason: m.Reason, now: float
+    ) -> None:
+        queue = self._queues[queued.work.tier]
+        if queue.remove(queued.work.ask):
+            self._tier_by_ask.pop(queued.work.ask, None)
+            self._refuse_work(queued.work, reason, now)
 
     def _refuse_work(self, work: m.Work, reason: m.Reason, now: float) -> None:
         self.counts.refused += 1
-        after = self._forecast.retry_after(work, self._usable(now), now)
+        after = self._forecast.retry_after(work, self._usable_targets(now), now)
         self._decisions.append(m.Refuse(work, reason, after))
 
-    def _drop_unknown_tier(self, item: Waiting) -> None:
-        self._tier_of.pop(item.work.ask, None)
-        self._refuse_unknown_tier(item.work)
+    def _drop_unknown_tier(self, queued: QueuedRequest) -> None:
+        self._tier_by_ask.pop(queued.work.ask, None)
+        self._refuse_unknown_tier(queued.work)
 
     def _refuse_unknown_tier(self, work: m.Work) -> None:
-        """Refuse work of a tier that is gone, or in force elsewhere first."""
+        """Refuse a request whose tier was removed or is not yet configured here."""
         self.counts.refused += 1
         refusal = m.Refuse(work, m.Reason.UNAVAILABLE, MIN_RETRY_AFTER_S)
         self._decisions.append(refusal)
 
     def _drop(self, ask: str) -> None:
-        tier = self._tier_of.pop(ask, None)
+        tier = self._tier_by_ask.pop(ask, None)
         if tier in self._queues:
             self._queues[tier].remove(ask)
         target = self._release(ask)
         if target:
-            target.forget(ask)
+            target.discard(ask)
 
     def _release(self, ask: str) -> TargetState | None:
         target = self._targets.get(self._placed.pop(ask, ""))
         if target and ask in target.running:
-            self._running_of[target.running[ask].work.customer] -= 1
+            self._running_by_customer[target.running[ask].work.customer] -= 1
         return target
--- a/hibiscusstep/routing/estimate.py
+++ b/hibiscusstep/routing/estimate.py
@@ -1,19 +1,19 @@
-"""hibiscusstep.routing.estimate: one target, learnt from its answers."""
+"""hibiscusstep.routing.estimate: performance estimates of one target."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
 from hibiscusstep.routing.messages import Work
 
-__all__ = ["Running", "TargetState"]
+__all__ = ["RunningRequest", "TargetState"]
 
-LEARN = 0.3
+LEARNING_RATE = 0.3
 LONG_PREFILL_S = 0.25
-NEARLY_DONE_S = 0.1
+PREFILL_MARGIN_S = 0.1
 MIN_RATE = 1e-3
-MAX_STEP = 4.0
-MIN_LEARNABLE_S = 0.05
-FULL_WEIGHT_S = 1.0
+MAX_RATIO = 4.0
+MIN_LEARNABLE_PREFILL_S = 0.05
+FULL_WEIGHT_PREFILL_S = 1.0
 FIRST_BACKOFF_S = 1.0
 MAX_BACKOFF_S = 30.0
 PREFIX_SIZES = (
@@ -32,30 +32,30 @@
     65536,
 )
 CACHE_TOKENS = 60_000
-CACHE_LOST_FACTOR = 1.5
+CACHE_MISS_FACTOR = 1.5
 
 
 @dataclass(slots=True, eq=False)
-class Running:
-    """A granted request.
+class RunningRequest:
+    """A granted request; times are seconds on the dispatcher's clock.
 
     Parameters
     ----------
     work : Work
         The request.
     granted : float
-        When, in seconds on the dispatcher's clock.
+        Time of the grant.
     uncached, ahead : int
-        Prompt tokens that the target is expected to compute; those granted before
-        whose first token had not come.
+        Prompt tokens that the target is expected to compute for it, and those of
+        earlier grants whose prefill was not finished at the time of the grant.
     predicted_first : float
         Expected seconds to the first token.
     first : float or None
-        When the first token came.
+        Time of the first token.
     first_seconds : float
-        Seconds from the dispatch to it, 0 if not known.
+        Seconds from the dispatch to the first token, 0 if not known.
     stopping : bool
-        Whether it was told to stop.
+        Whether a stop was requested.
     """
 
     work: Work
@@ -70,20 +70,21 @@
 
 @dataclass(slots=True, eq=False)
 class TargetState:
-    """One target as its dispatcher knows it.
+    """State and estimates of one target.
 
     Parameters
     ----------
     name : str
-        The target.
+        Name of the target.
     max_running : int
-        Requests that may run at once.
+        Maximum number of concurrent requests.
     prefill_rate, decode_rate : float
-        Tokens a second, learnt; the first from the configuration.
+        Estimated tokens per second; the initial values are from the configuration.
     drained, leaving, reachable : bool
-        The operator's mark, the target's own notice, the last report.
+        Whether an operator drained it, it announced its shutdown, and the last poll
+        reached it.
     reported : int
-        Load by the last report, running and waiting.
+        Running and waiting requests in its last load report.
     """
 
     name: str
@@ -94,14 +95,14 @@
     leaving: bool = False
     reachable: bool = True
     reported: int = 0
-    running: dict[str, Running] = field(default_factory=dict)
+    running: dict[str, RunningRequest] = field(default_factory=dict)
     suspect_until: float = 0.0
     failures: int = 0
     _prefixes: OrderedDict = field(default_factory=OrderedDict)
     _prefix_tokens: int = 0
 
     def usable(self, now: float) -> bool:
-        """Whether new work may go there."""
+        """Whether it may be granted new requests."""
         if self.drained or self.leaving or not self.reachable:
             return False
         if not self.failures:
@@ -110,21 +111,24 @@
 
     @property
     def free(self) -> int:
-        """Requests that may be added."""
+        """Number of free slots."""
         return self.max_running - len(self.running)
 
     @property
-    def prefilling(self) -> int:
-        """Prompt tokens granted whose first token has not come."""
+    def pending_prefill_tokens(self) -> int:
+        """Expected prompt tokens still to be computed by running requests."""
         return sum(run.uncached for run in self.running.values() if run.first is None)
 
     @property
-    def held_up(self) -> bool:
-        """Whether it computes prompts for so long that short work should not wait."""
-        return self.prefilling / self.prefill_rate > LONG_PREFILL_S + NEARLY_DONE_S
+    def prefill_blocked(self) -> bool:
+        """Whether its prefill backlog is too long for short requests to wait for."""
+        return (
+            self.pending_prefill_tokens / self.prefill_rate
+            > LONG_PREFILL_S + PREFILL_MARGIN_S
+        )
 
     def cached_tokens(self, work: Work) -> int:
-        """Prompt tokens that the target is thought to have cached."""
+        """Return how many prompt tokens the target probably has in its cache."""
         if not work.prefixes or not self._prefixes:
             return 0
         sizes = [
@@ -137,13 +141,13 @@
     def seconds_to_first(self, work: Work) -> float:
         """Return the expected seconds to the first token if granted now."""
         uncached = work.prompt_tokens - self.cached_tokens(work)
-        return (self.prefilling + uncached) / self.prefill_rate
+        return (self.pending_prefill_tokens + uncached) / self.prefill_rate
 
     def seconds_to_end(self, work: Work) -> float:
         """Return the expected seconds to the last token if granted now."""
         return self.seconds_to_first(work) + work.output_tokens / self.decode_rate
 
-    def seconds_left(self, run: Running, now: float) -> float:
+    def remaining_seconds(self, run: RunningRequest, now: float) -> float:
         """Return the expected seconds until a running request ends."""
         decode = run.work.output_tokens / self.decode_rate
         if run.first is not None:
@@ -151,57 +155,67 @@
         return max(0.0, run.granted + run.predicted_first - now) + decode
 
     def grant(self, work: Work, now: float) -> None:
-        """Count a request as running here."""
+        """Record a request as running on this target."""
         uncached = max(0, work.prompt_tokens - self.cached_tokens(work))
-        self.running[work.ask] = Running(
-            work, now, uncached, self.prefilling, self.seconds_to_first(work)
+        self.running[work.ask] = RunningRequest(
+            work,
+            now,
+            uncached,
+            self.pending_prefill_tokens,
+            self.seconds_to_first(work),
         )
-        self._remember(work)
+        self._add_prefixes(work)
 
     def first_token(self, ask: str, seconds: float, now: float) -> None:
-        """Take note that the first token came `seconds` after the dispatch."""
+        """Record the first token, which arrived `seconds` after the dispatch."""
         run = self.running.get(ask)
         if run is not None and run.first is None:
             run.first = now
             run.first_seconds = seconds
 
     def done(self, ask: str, tokens: int, seconds: float, computed: int = -1) -> None:
-        """Learn from a whole answer; the target is well again.
+        """Update the estimates from a complete answer and reset the failure count.
 
         Parameters
         ----------
         ask : str
-            The grant.
+            Id of the grant.
         tokens : int
-            Of the answer.
+            Tokens of the answer.
         seconds : float
             As `decode_seconds` of `hibiscusstep.routing.messages.Finished`.
         computed : int
-            Prompt tokens that the target says it computed, -1 if it does not say.
+            Prompt tokens that the target reports as computed, -1 if not reported.
         """
         run = self.running.pop(ask, None)
         self.failures = 0
         if run is None:
             return
-        self._learn_prefill(run, run.uncached if computed < 0 else computed)
-        self._learn_decode(run, tokens, seconds)
-        if computed > CACHE_LOST_FACTOR * run.uncached + PREFIX_SIZES[0]:
-            self._forget_prefixes(run.work)
+        self._update_prefill_rate(run, run.uncached if computed < 0 else computed)
+        self._update_decode_rate(run, tokens, seconds)
+        if computed > CACHE_MISS_FACTOR * run.uncached + PREFIX_SIZES[0]:
+            self._remove_prefixes(run.work)
 
-    def _learn_prefill(self, run: Running, computed: int) -> None:
-        """Learn from the time to the first token.
+    def _update_prefill_rate(self, run: RunningRequest, computed: int) -> None:
+        """Update the prefill rate from the time to the first token.
 
-        A step of decoding passes besides; a long prefill teaches more than a short.
+        That time includes one decoding step. Longer prefills have more weight.
         """
         expected = (run.ahead + computed) / self.prefill_rate
-        if expected < MIN_LEARNABLE_S or not run.first_seconds or run.ahead > computed:
+        if (
+            expected < MIN_LEARNABLE_PREFILL_S
+            or not run.first_seconds
+            or run.ahead > computed
+        ):
             return
-        prefill = max(MIN_LEARNABLE_S, run.first_seconds - 1 / self.decode_rate)
-        weight = LEARN * min(1.0, expected / FULL_WEIGHT_S)
-        rate = self.prefill_rate * _clip(expected / prefill) ** weight
+        prefill = max(MIN_LEARNABLE_PREFILL_S, run.first_seconds - 1 / self.decode_rate)
+        weight = LEARNING_RATE * min(1.0, expected / FULL_WEIGHT_PREFILL_S)
+        rate = self.prefill_rate * _clamp(expected / prefill) ** weight
         self.prefill_rate = max(MIN_RATE, rate)
 
-    def _learn_decode(self, run: Running, tokens: int, seconds: float) -> None:
+    def _update_decode_rate(
+        self, run: RunningRequest, tokens: int, seconds: float
+    ) -> None:
         if tokens < 2 or not seconds:
             return
         if seconds > 0:
@@ -209,25 +223,25 @@
         else:
             expected = run.predicted_first + tokens / self.decode_rate
             ratio = expected / -seconds
-        rate = self.decode_rate * _clip(ratio) ** LEARN
+        rate = self.decode_rate * _clamp(ratio) ** LEARNING_RATE
         self.decode_rate = max(MIN_RATE, rate)
 
     def failed(self, ask: str, now: float) -> None:
-        """Mark the target: nothing for a while, then one request at a time."""
+        """Back off: no requests for a while, then one at a time until one succeeds."""
         self.running.pop(ask, None)
         self.failures += 1
         backoff = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2 ** (self.failures - 1))
         self.suspect_until = now + backoff
 
-    def forget(self, ask: str) -> None:
-        """Drop a request that told nothing of the target."""
+    def discard(self, ask: str) -> None:
+        """Drop a request whose end says nothing about the target."""
         self.running.pop(ask, None)
 
-    def _forget_prefixes(self, work: Work) -> None:
+    def _remove_prefixes(self, work: Work) -> None:
         for prefix in work.prefixes:
             self._prefix_tokens -= self._prefixes.pop(prefix, 0)
 
-    def _remember(self, work: Work) -> None:
+    def _add_prefixes(self, work: Work) -> None:
         previous = 0
         for size, prefix in zip(PREFIX_SIZES, work.prefixes, strict=False):
             added = size - previous
@@ -241,5 +255,5 @@
             self._prefix_tokens -= self._prefixes.popitem(last=False)[1]
 
 
-def _clip(ratio: float) -> float:
-    return min(MAX_STEP, max(1 / MAX_STEP, ratio))
+def _clamp(ratio: float) -> float:
+    return min(MAX_RATIO, max(1 / MAX_RATIO, ratio))
--- a/hibiscusstep/routing/forecast.py
+++ b/hibiscusstep/routing/forecast.py
@@ -1,11 +1,11 @@
-"""hibiscusstep.routing.forecast: how long work will wait, and when to come back."""
+"""hibiscusstep.routing.forecast: expected waiting times and retry delays."""
 
 from collections.abc import Sequence
 
 from hibiscusstep.configuration.models import Configuration
 from hibiscusstep.routing.estimate import TargetState
 from hibiscusstep.routing.messages import Work
-from hibiscusstep.routing.queue import TierQueue, Waiting
+from hibiscusstep.routing.queue import QueuedRequest, TierQueue
 from hibiscusstep.routing.shedding import Shedder
 
 __all__ = ["MIN_RETRY_AFTER_S", "Forecast"]
@@ -13,22 +13,22 @@
 MIN_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 120.0
 UNREACHABLE_RETRY_S = 1.0
-NEXT_FREE_VALID_S = 0.02
+FREE_SLOT_CACHE_S = 0.02
 
 
 class Forecast:
-    """Expects waits from what waits and runs.
+    """Estimates waiting times from the waiting and running requests.
 
     Parameters
     ----------
     configuration : Configuration
-        Holds ranks and weights.
+        The ranks of tiers and the weights of customers.
     queues : dict of str to TierQueue
-        Waiting work by tier, the highest first.
+        Waiting requests by tier, the highest tier first.
     targets : dict of str to TargetState
-        Running work by target.
+        Targets by name, with their running requests.
     shedder : Shedder
-        Knows what may be stopped.
+        Decides which running requests may be stopped.
     """
 
     def __init__(
@@ -43,70 +43,80 @@
         self._queues = queues
         self._targets = targets
         self._shedder = shedder
-        self._next_free_at: dict[int, tuple[float, float]] = {}
+        self._free_slot_cache: dict[int, tuple[float, float]] = {}
 
-    def wait(self, item: Waiting, live: Sequence[TargetState], now: float) -> float:
-        """Return the expected seconds until a request is granted."""
-        places = sum(target.max_running for target in live)
-        if not places:
-            return self._next_probe(now)
-        ahead = self._ahead(item)
-        if not ahead and any(target.free > 0 for target in live):
+    def expected_wait(
+        self, queued: QueuedRequest, usable_targets: Sequence[TargetState], now: float
+    ) -> float:
+        """Return the expected seconds until a waiting request is granted."""
+        slots = sum(target.max_running for target in usable_targets)
+        if not slots:
+            return self._seconds_to_probe(now)
+        work_ahead_s = self._work_ahead_of(queued)
+        if not work_ahead_s and any(target.free > 0 for target in usable_targets):
             return 0.0
-        return ahead / places + self._next_free(item.work.rank, live, now)
+        return work_ahead_s / slots + self._seconds_to_free_slot(
+            queued.work.rank, usable_targets, now
+        )
 
-    def retry_after(self, work: Work, live: Sequence[TargetState], now: float) -> float:
-        """Return the seconds until what goes before the tier should be served."""
-        places = sum(target.max_running for target in live)
-        if not places:
-            return max(MIN_RETRY_AFTER_S, self._next_probe(now))
+    def retry_after(
+        self, work: Work, usable_targets: Sequence[TargetState], now: float
+    ) -> float:
+        """Return the seconds until running work and waiting work of the rank ends."""
+        slots = sum(target.max_running for target in usable_targets)
+        if not slots:
+            return max(MIN_RETRY_AFTER_S, self._seconds_to_probe(now))
         waiting = sum(
             queue.backlog()
             for tier, queue in self._queues.items()
             if self._tiers[tier].rank <= work.rank
         )
         running = sum(
-            target.seconds_left(run, now)
-            for target in live
+            target.remaining_seconds(run, now)
+            for target in usable_targets
             for run in target.running.values()
         )
-        seconds = (waiting + running) / places
+        seconds = (waiting + running) / slots
         return round(min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, seconds)), 1)
 
-    def _ahead(self, item: Waiting) -> float:
-        """Return the target seconds of the waiting work that goes first."""
+    def _work_ahead_of(self, queued: QueuedRequest) -> float:
+        """Return the expected seconds of service of the requests ahead of it."""
         total = 0.0
         for tier, queue in self._queues.items():
-            if tier == item.work.tier:
-                own = queue.work_ahead(item, self._weights)
-                return max(0.0, total + own - item.cost)
+            if tier == queued.work.tier:
+                own_tier = queue.work_ahead(queued, self._weights)
+                return max(0.0, total + own_tier - queued.cost)
             total += queue.backlog()
         return total
 
-    def _next_free(self, rank: int, live: Sequence[TargetState], now: float) -> float:
-        """Return the seconds until a place is free that the rank may take."""
-        if any(target.free > 0 for target in live):
+    def _seconds_to_free_slot(
+        self, rank: int, usable_targets: Sequence[TargetState], now: float
+    ) -> float:
+        """Return the seconds until a slot is free for a request of the rank."""
+        if any(target.free > 0 for target in usable_targets):
             return 0.0
-        at, seconds = self._next_free_at.get(rank, (-1.0, 0.0))
-        if now - at > NEXT_FREE_VALID_S:
-            seconds = self._scan_next_free(rank, live, now)
-            self._next_free_at[rank] = now, seconds
+        computed_at, seconds = self._free_slot_cache.get(rank, (-1.0, 0.0))
+        if now - computed_at > FREE_SLOT_CACHE_S:
+            seconds = self._compute_seconds_to_free_slot(rank, usable_targets, now)
+            self._free_slot_cache[rank] = now, seconds
         return seconds
 
-    def _scan_next_free(self, rank: int, live, now: float) -> float:
+    def _compute_seconds_to_free_slot(
+        self, rank: int, usable_targets, now: float
+    ) -> float:
         return min(
             (
                 0.0
                 if run.work.rank > rank and self._shedder.may_stop(run)
-                else target.seconds_left(run, now)
-                for target in live
+                else target.remaining_seconds(run, now)
+                for target in usable_targets
                 for run in target.running.values()
             ),
             default=0.0,
         )
 
-    def _next_probe(self, now: float) -> float:
-        """Return the seconds until a failed target is tried again."""
-        waits = [t.suspect_until - now for t in self._targets.values() if t.failures]
-        soonest = min(waits, default=UNREACHABLE_RETRY_S)
+    def _seconds_to_probe(self, now: float) -> float:
+        """Return the seconds until the next probe of a failed target."""
+        backoffs = [t.suspect_until - now for t in self._targets.values() if t.failures]
+        soonest = min(backoffs, default=UNREACHABLE_RETRY_S)
         return round(min(MAX_RETRY_AFTER_S, max(0.0, soonest)), 1)
--- a/hibiscusstep/routing/messages.py
+++ b/hibiscusstep/routing/messages.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.messages: what a dispatcher is told and what it decides."""
+"""hibiscusstep.routing.messages: input messages and decisions of a dispatcher."""
 
 import enum
 from dataclasses import dataclass, field
@@ -35,8 +35,8 @@
 class Outcome(enum.StrEnum):
     """How a granted request ended at its target.
 
-    `FAILED` is a target's own answer that it failed, `REJECTED` one that it did not
-    run the request, `UNUSED` a grant that was not taken up.
+    `FAILED`: the target answered with an error. `REJECTED`: the target answered that
+    it did not run the request. `UNUSED`: the instance did not use the grant.
     """
 
     DONE = "done"
@@ -50,7 +50,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a request was refused, or stopped."""
+    """Why a request was refused or stopped."""
 
     LOAD = "load"
     DEADLINE = "deadline"
@@ -63,45 +63,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """A request as the dispatcher sees it.
+    """A request as its dispatcher knows it; times are seconds on its clock.
 
     Parameters
     ----------
     ask : str
-        Unique id of this ask; a repeated ask of a request has a new one.
+        Id of this application for a grant; each new one for a request has a new id.
     request, instance : str
-        Whose it is: the request's id and the instance that holds it.
+        Id of the request, and name of the instance that received it.
     customer, tier : str
-        Names.
+        Names of the customer and the tier.
     rank : int
         Rank of the tier, 0 the highest.
     prompt_tokens, output_tokens : int
-        Estimated by the instance; 0 prompt tokens for a plain service.
+        Estimates by the instance; 0 prompt tokens for a plain service.
     deadline : float
-        When the first byte is due, in seconds on the dispatcher's clock.
+        Time at which the first byte is due.
     received : float
-        When it was received, in seconds on the dispatcher's clock.
+        Time of receipt.
     stoppable : bool
         Whether it may be stopped while it runs.
     prefixes : tuple of int
-        Hashes of leading parts of the prompt, shortest first.
+        Hashes of prompt prefixes, the shortest first.
     avoid : tuple of str
-        Targets that failed this request before.
+        Targets at which an earlier attempt failed.
     due : float
-        When the first token is on time at the latest, on the dispatcher's clock; 0 if
-        not told.
+        Latest time at which the first token counts as on time; 0 if not given.
     data_centre : str
-        Where the instance runs.
+        Data centre of the instance.
     ends : float
-        When the whole answer must have come, on the dispatcher's clock; 0 if not told.
+        Time at which the whole answer is due; 0 if not given.
     identity : int
-        The same for all attempts of a caller at one request; 0 if not known.
+        Identifier common to all attempts of a caller at one request; 0 if not known.
     suspect : int
-        The request's fingerprint if targets crashed under it, else 0.
+        Fingerprint of the request if targets crashed while they ran it, else 0.
     resting : tuple of str
-        Targets that want nothing from the instance for now; none of them is granted.
+        Targets that accept no requests from the instance for now; none is granted.
     route : str
-        By which it came.
+        Name of the route.
     """
 
     ask: str
@@ -128,21 +127,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """A request wants a target."""
+    """A request applies for a target."""
 
     work: Work
 
 
 @dataclass(frozen=True, slots=True)
 class Withdraw:
-    """The request no longer wants one, or does not use its grant."""
+    """A request withdraws its application or does not use its grant."""
 
     ask: str
 
 
 @dataclass(frozen=True, slots=True)
 class FirstToken:
-    """The answer's first token came `seconds` after the dispatch."""
+    """The first token of the answer arrived `seconds` after the dispatch."""
 
     ask: str
     seconds: float
@@ -155,18 +154,18 @@
     Parameters
     ----------
     ask : str
-        The ask that was granted.
+        Id of the grant.
     outcome : Outcome
-        How.
+        How the request ended.
     tokens : int
-        Tokens of the answer.
+        Number of tokens of the answer.
     decode_seconds : float
-        Seconds from the first to the last token; if the answer came in one piece,
-        minus the seconds from dispatch to its end; 0 if not known.
+        Seconds from the first to the last token; for an answer that was not streamed,
+        the negative of the seconds from dispatch to its end; 0 if not known.
     computed : int
-        Prompt tokens that the target says it computed; -1 if it does not say.
+        Prompt tokens that the target reports as computed; -1 if not reported.
     longest_pause : float
-        The longest pause between two events, in seconds; 0 if not known.
+        Longest pause between two stream events in seconds; 0 if not known.
     """
 
     ask: str
@@ -179,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Held:
-    """All grants that an instance holds; what else is counted for it got lost."""
+    """All grants that an instance holds; others counted for it are lost."""
 
     instance: str
     asks: frozenset[str]
@@ -187,18 +186,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Learnt:
-    """What a dispatcher of the pool learnt, or one before a restart of all.
+    """Estimates of another dispatcher of the pool, or of one before a full restart.
 
     Parameters
     ----------
     slowness : dict of str to float
-        Of targets by name.
+        Slowness factor by name of target.
     first, token : float
-        Seconds before a first token, and of a prompt's token; 0 if not learnt.
+        Seconds to the first token, and seconds of prefill per prompt token; 0 if not
+        known.
     share : float
-        Seconds of prompts that are read between two events; 0 if not learnt.
+        Seconds of prefill that a target does between two stream events; 0 if not
+        known.
     old : bool
-        Whether it only stands in for what is not known yet.
+        Whether they only fill in for estimates that are not known yet.
     """
 
     slowness: dict[str, float]
@@ -210,7 +211,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a target said of itself, some time ago."""
+    """The last load report of a target; it may be out of date."""
 
     target: str
     running: int
@@ -221,7 +222,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Adopt:
-    """An instance reports a request that already runs, after a change of dispatcher."""
+    """A running request, reported by its instance after a change of dispatcher."""
 
     work: Work
     target: str
@@ -229,14 +230,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Recovered:
-    """Every live instance has reported; grants may begin."""
+    """All live instances have registered; the dispatcher may decide."""
 
 
 @dataclass(frozen=True, slots=True)
 class Doubt:
-    """Whether another dispatcher may be at work beyond a cut.
+    """Whether another dispatcher may be active on the far side of a partition.
 
-    In doubt nothing is refused for load: what the other side serves is not known.
+    While this is so nothing is refused for load, because the load on the other side is
+    not known.
     """
 
     doubtful: bool
@@ -244,7 +246,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceGone:
-    """An instance is dead; what it held is void."""
+    """An instance is dead; its requests and grants are dropped."""
 
     instance: str
 
@@ -263,18 +265,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """The request goes to `target`.
+    """A request is assigned to `target`.
 
     Parameters
     ----------
     work : Work
         The request.
     target : str
-        Where it goes.
+        Name of the target.
     wait : float
-        Seconds it waited.
+        Seconds that it waited.
     candidates : dict of str to float
-        Estimated seconds to the end of the answer, by target weighed.
+        Estimated seconds to the end of the answer, by candidate target.
     """
 
     work: Work
@@ -285,7 +287,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """The request is not run; come back in `retry_after` seconds."""
+    """A request is not run; the caller may retry after `retry_after` seconds."""
 
     work: Work
     reason: Reason
@@ -294,7 +296,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """The running request must end, to make way for a higher tier."""
+    """A running request is cancelled to free its slot for a higher tier."""
 
     work: Work
     target: str
@@ -302,14 +304,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Inquire:
-    """An instance is asked which grants it holds: some should have ended."""
+    """An instance must report its grants, because some should have ended."""
 
     instance: str
 
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """A granted request counts no more: its instance did not say that it holds it."""
+    """A grant is released because its instance did not confirm it."""
 
     work: Work
     target: str
@@ -317,18 +319,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Conclude:
-    """An order to move the pool's traffic to a version is concluded.
+    """The rollout of a version to the pool has ended.
 
     Parameters
     ----------
     version : str
-        The version.
+        Name of the version.
     number : int
-        Of the order.
+        Number of the rollout order.
     state : RolloutState
-        How it ended.
+        How the rollout ended.
     reason : str
-        Why, for operators.
+        Reason, for operators.
     """
 
     version: str
--- a/hibiscusstep/routing/queue.py
+++ b/hibiscusstep/routing/queue.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.queue: the requests of one tier that wait, in fair order."""
+"""hibiscusstep.routing.queue: the fair queue of one tier."""
 
 import heapq
 import itertools
@@ -8,15 +8,15 @@
 
 from hibiscusstep.routing.messages import Work
 
-__all__ = ["TierQueue", "Waiting"]
+__all__ = ["TierQueue", "QueuedRequest"]
 
-LONG_CHOICES = 8
-CUSTOMER_CHOICES = 3
-PLAIN_CHOICES = 8
+MAX_LONG_PER_CUSTOMER = 8
+MAX_CUSTOMERS = 3
+MAX_FIRST_COME = 8
 
 
 @dataclass(slots=True, eq=False)
-class Waiting:
+class QueuedRequest:
     """A waiting request.
 
     Parameters
@@ -24,11 +24,11 @@
     work : Work
         The request.
     cost : float
-        Expected seconds of a target that it takes.
+        Expected seconds of service on a target.
     latest_start : float
-        When it must be granted to meet its deadline, dispatcher's clock.
+        Latest time of a grant that meets its deadline, on the dispatcher's clock.
     long : bool
-        Whether it queues with the long ones.
+        Whether it counts as long; long requests queue separately.
     gone : bool
         Whether it has left the queue.
     """
@@ -42,13 +42,13 @@
 
 @dataclass(slots=True)
 class _CustomerQueue:
-    """Short and long requests of one customer, each cheapest first."""
+    """Heaps of the short and the long requests of one customer, cheapest first."""
 
     heaps: tuple[list, list] = field(default_factory=lambda: ([], []))
     backlog: float = 0.0
     count: int = 0
 
-    def head(self, long: bool) -> Waiting | None:
+    def head(self, long: bool) -> QueuedRequest | None:
         heap = self.heaps[long]
         while heap and heap[0][-1].gone:
             heapq.heappop(heap)
@@ -56,17 +56,17 @@
 
 
 class TierQueue:
-    """Waiting requests of a tier.
+    """The waiting requests of a tier.
 
-    Fair order (`fair`): customers take turns by what they were served, divided by
-    their weight; within a customer the cheapest goes first, aged by its wait. A
-    request whose latest start is near goes before all others. Plain order
-    otherwise: first come, first served.
+    With `fair` the queue is weighted fair: the customer with the least service divided
+    by its weight goes first; within a customer the cheapest request goes first, with
+    ageing by its wait. A request whose latest start is near goes before all others of
+    its customer. Without `fair` the order is first come, first served.
 
     Parameters
     ----------
     fair : bool
-        Which order.
+        Whether customers share fairly.
     urgent_s : float
         Seconds before the latest start from which a request is urgent.
     """
@@ -74,152 +74,161 @@
     def __init__(self, fair: bool, urgent_s: float = 0.3) -> None:
         self._fair = fair
         self._urgent_s = urgent_s
-        self._by_ask: dict[str, Waiting] = {}
+        self._by_ask: dict[str, QueuedRequest] = {}
         self._customers: dict[str, _CustomerQueue] = defaultdict(_CustomerQueue)
         self._served: dict[str, float] = defaultdict(float)
-        self._virtual = 0.0
-        self._due: list = []
-        self._ticket = itertools.count()
+        self._virtual_time = 0.0
+        self._by_latest_start: list = []
+        self._arrival_numbers = itertools.count()
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of waiting requests."""
         return len(self._by_ask)
 
-    def __iter__(self) -> Iterator[Waiting]:
-        """Iterate over those that wait, in order of arrival."""
+    def __iter__(self) -> Iterator[QueuedRequest]:
+        """Iterate over the waiting requests in order of arrival."""
         return iter(list(self._by_ask.values()))
 
-    def waiting_of(self, customer: str) -> int:
-        """Return how many of a customer's requests wait."""
+    def waiting_count(self, customer: str) -> int:
+        """Return the number of waiting requests of a customer."""
         return self._customers[customer].count if customer in self._customers else 0
 
-    def add(self, item: Waiting) -> None:
-        """Take a request."""
-        ticket = next(self._ticket)
-        work = item.work
-        self._by_ask[work.ask] = item
+    def add(self, queued: QueuedRequest) -> None:
+        """Add a request."""
+        arrival_number = next(self._arrival_numbers)
+        work = queued.work
+        self._by_ask[work.ask] = queued
         customer = self._customers[work.customer]
         if not customer.count:
-            returned = max(self._served[work.customer], self._virtual)
-            self._served[work.customer] = returned
-        aged_cost = work.received + item.cost if self._fair else 0.0
-        heapq.heappush(customer.heaps[item.long], (aged_cost, ticket, item))
-        heapq.heappush(self._due, (item.latest_start, ticket, item))
-        customer.backlog += item.cost
+            served_on_return = max(self._served[work.customer], self._virtual_time)
+            self._served[work.customer] = served_on_return
+        aged_cost = work.received + queued.cost if self._fair else 0.0
+        heapq.heappush(customer.heaps[queued.long], (aged_cost, arrival_number, queued))
+        heapq.heappush(
+            self._by_latest_start, (queued.latest_start, arrival_number, queued)
+        )
+        customer.backlog += queued.cost
         customer.count += 1
 
-    def remove(self, ask: str) -> Waiting | None:
-        """Take a request out, whatever its position."""
-        item = self._by_ask.pop(ask, None)
-        if item is None:
+    def remove(self, ask: str) -> QueuedRequest | None:
+        """Remove a request from any position; return None if it is not queued."""
+        queued = self._by_ask.pop(ask, None)
+        if queued is None:
             return None
-        item.gone = True
-        customer = self._customers[item.work.customer]
-        customer.backlog -= item.cost
+        queued.gone = True
+        customer = self._customers[queued.work.customer]
+        customer.backlog -= queued.cost
         customer.count -= 1
         if not customer.count:
-            del self._customers[item.work.customer]
-        return item
+            del self._customers[queued.work.customer]
+        return queued
 
-    def charge(self, item: Waiting, weight: float) -> None:
-        """Count a granted request against its customer's share."""
-        name = item.work.customer
-        self._virtual = max(self._virtual, self._served[name])
-        self._served[name] += item.cost / weight
+    def charge(self, queued: QueuedRequest, weight: float) -> None:
+        """Charge the cost of a granted request to its customer."""
+        name = queued.work.customer
+        self._virtual_time = max(self._virtual_time, self._served[name])
+        self._served[name] += queued.cost / weight
 
     def candidates(
         self, now: float, may_run: Callable[[str], bool] = lambda _customer: True
-    ) -> list[Waiting]:
-        """Return requests to try in this order, a few of each class.
+    ) -> list[QueuedRequest]:
+        """Return the requests to try next, in order: a few of each class.
 
         Parameters
         ----------
         now : float
             Seconds on the dispatcher's clock.
         may_run : callable of str
-            Whether a customer may have one more running.
+            Whether a customer may run one more request.
         """
         if not self._by_ask:
             return []
         if not self._fair:
-            return list(itertools.islice(self._by_ask.values(), PLAIN_CHOICES))
-        open_to = {n: c for n, c in self._customers.items() if may_run(n)}
-        heads = [*self._short_heads(open_to), *self._long_heads(open_to)]
-        urgent = self._next_due()
-        near = urgent.latest_start - now < self._urgent_s
-        if near and not urgent.long and urgent.work.customer in open_to:
+            return list(itertools.islice(self._by_ask.values(), MAX_FIRST_COME))
+        eligible = {n: c for n, c in self._customers.items() if may_run(n)}
+        heads = [*self._short_heads(eligible), *self._long_heads(eligible)]
+        urgent = self._earliest_due()
+        is_urgent = urgent.latest_start - now < self._urgent_s
+        if is_urgent and not urgent.long and urgent.work.customer in eligible:
             heads.insert(0, urgent)
-        heads.sort(key=lambda item: self._turn(item, item is urgent and near))
-        if near and urgent.long:
+        heads.sort(
+            key=lambda queued: self._sort_key(queued, queued is urgent and is_urgent)
+        )
+        if is_urgent and urgent.long:
             heads.append(urgent)
         return list(dict.fromkeys(heads))
 
-    def _turn(self, item: Waiting, urgent: bool) -> float:
-        """Return the sort key; urgency puts a request first within its share only."""
-        return self._served[item.work.customer] + (0.0 if urgent else item.cost)
+    def _sort_key(self, queued: QueuedRequest, urgent: bool) -> float:
+        """Return the sort key; urgency changes the order within a customer only."""
+        return self._served[queued.work.customer] + (0.0 if urgent else queued.cost)
+
+    def overdue(self, now: float) -> Iterator[QueuedRequest]:
+        """Yield the requests whose latest start is past, the most overdue first.
 
-    def overdue(self, now: float) -> Iterator[Waiting]:
-        """Yield the requests whose latest start is past, the most overdue first."""
-        while (item := self._next_due()) and item.latest_start <= now:
-            yield item
-            if not item.gone:
+        Iteration ends if the caller does not remove the yielded request.
+        """
+        while (queued := self._earliest_due()) and queued.latest_start <= now:
+            yield queued
+            if not queued.gone:
                 return
 
-    def due_before(self, moment: float) -> list[Waiting]:
-        """Return the requests whose latest start lies before `moment`."""
-        return [item for item in self._by_ask.values() if item.latest_start < moment]
+    def due_before(self, moment: float) -> list[QueuedRequest]:
+        """Return the requests whose latest start is before `moment`."""
+        return [
+            queued for queued in self._by_ask.values() if queued.latest_start < moment
+        ]
 
-    def next_due(self) -> float:
+    def next_latest_start(self) -> float:
         """Return the earliest latest start, infinity if nothing waits."""
-        item = self._next_due()
-        return item.latest_start if item else float("inf")
+        queued = self._earliest_due()
+        return queued.latest_start if queued else float("inf")
 
-    def work_ahead(self, item: Waiting, weights: dict[str, float]) -> float:
-        """Return the expected target seconds served before a new request ends its wait.
+    def work_ahead(self, queued: QueuedRequest, weights: dict[str, float]) -> float:
+        """Return the expected seconds of service that precede a new request.
 
-        Each other customer gets its share, at most what it has waiting.
+        Each other customer gets its fair share, but no more than its backlog.
         """
-        name = item.work.customer
+        name = queued.work.customer
         if not self._fair:
             return sum(customer.backlog for customer in self._customers.values())
-        own = item.cost
+        own_work = queued.cost
         if name in self._customers:
-            own += self._customers[name].backlog
-        share = own / weights.get(name, 1.0)
+            own_work += self._customers[name].backlog
+        own_rounds = own_work / weights.get(name, 1.0)
         others = sum(
-            min(customer.backlog, share * weights.get(other, 1.0))
+            min(customer.backlog, own_rounds * weights.get(other, 1.0))
             for other, customer in self._customers.items()
             if other != name
         )
-        return own - item.cost + others
+        return own_work - queued.cost + others
 
     def backlog(self) -> float:
-        """Return the expected target seconds of all that wait."""
+        """Return the expected seconds of service of all waiting requests."""
         return sum(customer.backlog for customer in self._customers.values())
 
-    def _next_due(self) -> Waiting | None:
-        while self._due and self._due[0][-1].gone:
-            heapq.heappop(self._due)
-        return self._due[0][-1] if self._due else None
+    def _earliest_due(self) -> QueuedRequest | None:
+        while self._by_latest_start and self._by_latest_start[0][-1].gone:
+            heapq.heappop(self._by_latest_start)
+        return self._by_latest_start[0][-1] if self._by_latest_start else None
 
-    def _short_heads(self, customers: dict) -> list[Waiting]:
-        """Return the next short requests, of as many customers."""
+    def _short_heads(self, customers: dict) -> list[QueuedRequest]:
+        """Return the next short requests, one per customer."""
         heads = (customer.head(False) for customer in customers.values())
-        found = (head for head in heads if head)
-        return heapq.nsmallest(CUSTOMER_CHOICES, found, key=self._key)
+        nonempty = (head for head in heads if head)
+        return heapq.nsmallest(MAX_CUSTOMERS, nonempty, key=self._head_key)
 
-    def _long_heads(self, customers: dict) -> list[Waiting]:
-        """Return the next long requests of some customers, several of each."""
+    def _long_heads(self, customers: dict) -> list[QueuedRequest]:
+        """Return the next long requests, several per customer."""
         heads = (customer.head(True) for customer in customers.values())
-        found = (head for head in heads if head)
-        firsts = heapq.nsmallest(CUSTOMER_CHOICES, found, key=self._key)
+        nonempty = (head for head in heads if head)
+        firsts = heapq.nsmallest(MAX_CUSTOMERS, nonempty, key=self._head_key)
         heaps = (customers[first.work.customer].heaps[True] for first in firsts)
         return [
             entry[-1]
             for heap in heaps
-            for entry in heap[:LONG_CHOICES]
+            for entry in heap[:MAX_LONG_PER_CUSTOMER]
             if not entry[-1].gone
         ]
 
-    def _key(self, item: Waiting) -> float:
-        return self._served[item.work.customer] + item.cost
+    def _head_key(self, queued: QueuedRequest) -> float:
+        return self._served[queued.work.customer] + queued.cost
--- a/hibiscusstep/routing/shedding.py
+++ b/hibiscusstep/routing/shedding.py
@@ -1,25 +1,25 @@
-"""hibiscusstep.routing.shedding: who makes way for whom."""
+"""hibiscusstep.routing.shedding: which requests are shed for a higher tier."""
 
 from collections.abc import Iterator
 
 from hibiscusstep.configuration.models import Configuration
-from hibiscusstep.routing.estimate import Running, TargetState
-from hibiscusstep.routing.queue import TierQueue, Waiting
+from hibiscusstep.routing.estimate import RunningRequest, TargetState
+from hibiscusstep.routing.queue import QueuedRequest, TierQueue
 
 __all__ = ["Shedder"]
 
 
 class Shedder:
-    """Finds the work of lower tiers that goes before a higher one is refused.
+    """Selects requests of lower tiers to shed before a higher tier is refused.
 
     Parameters
     ----------
     configuration : Configuration
-        Holds the operators' rules.
+        The operators' shedding rules.
     queues : dict of str to TierQueue
-        Waiting work by tier, the highest first.
+        Waiting requests by tier, the highest tier first.
     targets : dict of str to TargetState
-        Running work by target.
+        Targets by name, with their running requests.
     """
 
     def __init__(
@@ -32,38 +32,40 @@
         self._queues = queues
         self._targets = targets
 
-    def may_stop(self, run: Running) -> bool:
-        """Whether a running request may be stopped by the rules."""
+    def may_stop(self, run: RunningRequest) -> bool:
+        """Whether the rules allow stopping a running request."""
         rule = self._configuration.rule(run.work.tier)
         return run.work.stoppable and rule.may_be_stopped
 
-    def waiting_below(self, rank: int) -> Iterator[Waiting]:
-        """Yield the waiting work of lower tiers, the lowest first."""
+    def waiting_below(self, rank: int) -> Iterator[QueuedRequest]:
+        """Yield the waiting requests of lower tiers, the lowest tier first."""
         for queue in reversed(self._queues.values()):
-            yield from (item for item in queue if item.work.rank > rank)
+            yield from (queued for queued in queue if queued.work.rank > rank)
 
-    def victims(self, rank: int, now: float) -> list[tuple[TargetState, Running]]:
-        """Return the running work that may be stopped for a rank.
+    def victims(
+        self, rank: int, now: float
+    ) -> list[tuple[TargetState, RunningRequest]]:
+        """Return the running requests that may be stopped for a rank.
 
-        The lowest tier goes first, within it what has least to lose.
+        The lowest tier comes first, and within it the request with the least work done.
         """
-        found = [
+        candidates = [
             (target, run)
             for target in self._targets.values()
             for run in target.running.values()
             if run.work.rank > rank and not run.stopping and self.may_stop(run)
         ]
-        return sorted(found, key=lambda pair: self._loss(pair[1], now))
+        return sorted(candidates, key=lambda pair: self._stop_order(pair[1], now))
 
     def stopping(self, rank: int) -> int:
-        """Return how many lower requests were told to stop and still run."""
+        """Return the number of lower requests that are stopping but still run."""
         return sum(
             run.stopping and run.work.rank > rank
             for target in self._targets.values()
             for run in target.running.values()
         )
 
-    def _loss(self, run: Running, now: float) -> tuple[int, float]:
-        started = run.first is not None
-        spent = run.uncached if started else 0.0
-        return (-run.work.rank, spent + (now - run.granted))
+    def _stop_order(self, run: RunningRequest, now: float) -> tuple[int, float]:
+        has_first_token = run.first is not None
+        computed_tokens = run.uncached if has_first_token else 0.0
+        return (-run.work.rank, computed_tokens + (now - run.granted))
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The pure dispatcher: tier order, conservation of work, fairness, no starvation."""
+"""The dispatcher: tier order, work conservation, fairness, no starvation."""
 
 import json
 
@@ -12,7 +12,7 @@
 from hibiscusstep.routing.dispatcher import Dispatcher
 
 RANKS = {"high": 0, "mid": 1, "low": 2}
-CUSTOMERS = {"big": 1.0, "small": 1.0, "heavy": 4.0}
+CUSTOMER_WEIGHTS = {"big": 1.0, "small": 1.0, "heavy": 4.0}
 
 
 def make_configuration(targets=2, max_running=2, policy="expected-work", **pool):
@@ -20,7 +20,7 @@
         "tiers": {name: {"rank": rank} for name, rank in RANKS.items()},
         "customers": {
             name: {"key_hashes": [f"{n:064x}"], "tier": "high", "weight": weight}
-            for n, (name, weight) in enumerate(CUSTOMERS.items())
+            for n, (name, weight) in enumerate(CUSTOMER_WEIGHTS.items())
         },
         "pools": {
             "p": {
@@ -81,7 +81,7 @@
 
 
 def fill(dispatcher, count, now=0.0, tier="high", prefix="f", **fields):
-    """Take `count` places; return the asks."""
+    """Occupy `count` slots; return the ids of the grants."""
     names = [f"{prefix}{n}" for n in range(count)]
     for name in names:
         assert granted(dispatcher.handle(m.Ask(work(name, tier, now, **fields)), now))
@@ -89,12 +89,12 @@
 
 
 class TestRecovery:
-    def test_decides_nothing_before(self):
+    def test_decides_nothing_before_recovery(self):
         dispatcher = make(recovered=False)
         assert dispatcher.handle(m.Ask(work(1, deadline=0.1)), 0.0) == []
         assert dispatcher.handle(m.Tick(), 5.0) == []
 
-    def test_counts_what_it_adopts(self):
+    def test_adopted_request_occupies_a_slot(self):
         dispatcher = make(recovered=False, targets=1, max_running=1)
         dispatcher.handle(m.Adopt(work("a"), "t0"), 0.0)
         dispatcher.handle(m.Ask(work("b")), 0.0)
@@ -102,7 +102,7 @@
         done = m.Finished("a", m.Outcome.DONE)
         assert granted(dispatcher.handle(done, 1.0)) == ["b"]
 
-    def test_what_a_dead_instance_held_is_void(self):
+    def test_requests_of_a_dead_instance_are_dropped(self):
         dispatcher = make(targets=1, max_running=1)
         fill(dispatcher, 1, instance="dead")
         dispatcher.handle(m.Ask(work("waits", instance="dead")), 0.0)
@@ -111,7 +111,7 @@
 
 
 class TestTierOrder:
-    def test_higher_goes_first(self):
+    def test_higher_tier_is_granted_first(self):
         dispatcher = make(targets=1, max_running=1)
         fill(dispatcher, 1)
         for tier in ("low", "mid", "high"):
@@ -124,14 +124,14 @@
             order.append(running)
         assert order == ["high", "mid", "low", None]
 
-    def test_lower_waiting_is_refused_first(self):
+    def test_waiting_lower_tier_is_refused_first(self):
         dispatcher = make(targets=1, max_running=1)
         fill(dispatcher, 1, output_tokens=1000)
         dispatcher.handle(m.Ask(work("mid", "mid", deadline=110)), 0.0)
         decisions = dispatcher.handle(m.Ask(work("high", deadline=1)), 0.0)
         assert refused(decisions) == ["mid", "high"]
 
-    def test_lower_running_is_stopped_before_a_refusal(self):
+    def test_running_lower_tier_is_stopped_before_a_refusal(self):
         dispatcher = make(targets=1, max_running=1)
         fill(dispatcher, 1, tier="low", output_tokens=1000)
         assert dispatcher.handle(m.Ask(work("high", deadline=2)), 0.0) == []
@@ -141,13 +141,13 @@
         cancelled = m.Finished("f0", m.Outcome.CANCELLED)
         assert granted(dispatcher.handle(cancelled, 2.6)) == ["high"]
 
-    def test_what_may_not_be_stopped_runs_on(self):
+    def test_tier_that_may_not_be_stopped_keeps_running(self):
         dispatcher = make(targets=1, max_running=1)
         fill(dispatcher, 1, tier="mid", output_tokens=1000)
         decisions = dispatcher.handle(m.Ask(work("high", deadline=2)), 0.0)
         assert stopped(decisions) == [] and refused(decisions) == ["high"]
 
-    def test_a_tier_that_may_not_be_shed_waits(self):
+    def test_tier_that_may_not_be_shed_waits(self):
         data = make_configuration(targets=1, max_running=1).model_dump()
         data["shedding"]["high"] = {"may_be_shed": False}
         data["shedding"]["mid"] = {"may_be_shed": True}
@@ -160,28 +160,28 @@
 
 
 class TestRefusals:
-    def test_what_cannot_begin_in_time_is_refused_on_arrival(self):
+    def test_request_that_cannot_start_in_time_is_refused_on_arrival(self):
         dispatcher = make(targets=1, max_running=1)
         fill(dispatcher, 1, output_tokens=1000)
         decisions = dispatcher.handle(m.Ask(work("late", deadline=2)), 0.0)
         assert refused(decisions) == ["late"]
         assert 90 < decisions[0].retry_after < 110
 
-    def test_impossible_even_when_idle(self):
+    def test_deadline_impossible_on_idle_targets(self):
         decisions = make().handle(m.Ask(work("x", prompt_tokens=9000, deadline=2)), 0.0)
         assert decisions[0].reason is m.Reason.IMPOSSIBLE
 
-    def test_what_waited_elsewhere_too_long_is_late_not_impossible(self):
+    def test_request_that_waited_elsewhere_is_late_not_impossible(self):
         dispatcher = make(targets=1, max_running=1)
         fill(dispatcher, 1, now=5.0)
         decisions = dispatcher.handle(m.Ask(work("x", now=0.0, deadline=5)), 5.1)
         assert decisions[0].reason in (m.Reason.LOAD, m.Reason.DEADLINE)
 
-    def test_free_capacity_is_never_refused(self):
+    def test_nothing_is_refused_with_free_capacity(self):
         dispatcher = make()
         assert granted(dispatcher.handle(m.Ask(work("x", deadline=0.2)), 0.0)) == ["x"]
 
-    def test_a_customers_limit(self):
+    def test_max_waiting_of_a_customer(self):
         data = make_configuration(targets=1, max_running=1).model_dump()
         data["customers"]["small"]["max_waiting"] = 1
         configuration = load_configuration({"a.json": json.dumps(data)})[0]
@@ -193,8 +193,8 @@
         assert decisions[0].reason is m.Reason.CUSTOMER_LIMIT
 
 
-class TestChangeOfConfiguration:
-    def test_work_of_a_tier_that_is_gone_is_answered_at_once(self):
+class TestConfigurationChange:
+    def test_removed_tier_is_refused_at_once(self):
         dispatcher = make(targets=1, max_running=1)
         fill(dispatcher, 1)
         dispatcher.handle(m.Ask(work("waits", "mid")), 0.0)
@@ -205,7 +205,7 @@
         assert refusal.work.ask == "waits"
         assert refusal.reason is m.Reason.UNAVAILABLE
 
-    def test_work_of_a_tier_not_known_yet_is_answered_at_once(self):
+    def test_unknown_tier_is_refused_at_once(self):
         data = make_configuration().model_dump()
         del data["tiers"]["mid"]
         older = load_configuration({"a.json": json.dumps(data)})[0]
@@ -214,7 +214,7 @@
         (refusal,) = dispatcher.handle(m.Ask(work("x", "mid")), 0.0)
         assert refusal.reason is m.Reason.UNAVAILABLE and refusal.retry_after == 1.0
 
-    def test_a_change_of_policy_keeps_what_waits(self):
+    def test_policy_change_keeps_waiting_requests(self):
         dispatcher = make(targets=1, max_running=1)
         fill(dispatcher, 1)
         dispatcher.handle(m.Ask(work("waits")), 0.0)
@@ -225,20 +225,20 @@
 
 
 class TestTargets:
-    def test_a_failed_target_rests_then_gets_one(self):
+    def test_failed_target_gets_one_request_after_its_backoff(self):
         dispatcher = make(targets=2, max_running=2)
         decisions = dispatcher.handle(m.Ask(work("a")), 0.0)
-        bad = decisions[0].target
+        failed_target = decisions[0].target
         dispatcher.handle(m.Finished("a", m.Outcome.UNREACHABLE), 0.0)
         for n in range(2):
             decisions = dispatcher.handle(m.Ask(work(n)), 0.1)
-            assert decisions[0].target != bad
+            assert decisions[0].target != failed_target
         assert dispatcher.handle(m.Ask(work("b")), 0.2) == []
         assert granted(dispatcher.handle(m.Tick(), 1.2)) == ["b"]
         assert dispatcher.handle(m.Ask(work("c")), 1.3) == []
 
     @pytest.mark.parametrize("mark", ["drained", "leaving", "reachable"])
-    def test_marked_targets_get_nothing(self, mark):
+    def test_unusable_target_gets_no_requests(self, mark):
         dispatcher = make(targets=1)
         if mark == "drained":
             data = make_configuration(targets=1).model_dump()
@@ -254,15 +254,15 @@
         else:
             assert decisions == []
 
-    def test_one_that_failed_a_request_does_not_get_it_again(self):
+    def test_target_that_failed_a_request_is_avoided(self):
         dispatcher = make(targets=2, max_running=1)
-        busy = dispatcher.handle(m.Ask(work("busy")), 0.0)[0].target
-        other = next(name for name in dispatcher.targets if name != busy)
+        busy_target = dispatcher.handle(m.Ask(work("busy")), 0.0)[0].target
+        other = next(name for name in dispatcher.targets if name != busy_target)
         assert dispatcher.handle(m.Ask(work("again", avoid=(other,))), 0.0) == []
         (grant,) = dispatcher.handle(m.Finished("busy", m.Outcome.DONE), 1.0)
-        assert (grant.work.ask, grant.target) == ("again", busy)
+        assert (grant.work.ask, grant.target) == ("again", busy_target)
 
-    def test_one_that_refuses_as_leaving_gets_nothing_until_it_reports(self):
+    def test_target_that_answers_leaving_gets_nothing_until_its_next_report(self):
         dispatcher = make(targets=1)
         dispatcher.handle(m.Ask(work("a")), 0.0)
         dispatcher.handle(m.Finished("a", m.Outcome.LEAVING), 0.0)
@@ -271,26 +271,26 @@
         dispatcher.handle(m.LoadReport("t0", 0, 0, False), 1.0)
         assert granted(dispatcher.handle(m.Ask(work("c")), 1.0)) == ["c"]
 
-    def test_an_unlike_pair_gets_unlike_shares(self):
+    def test_faster_target_is_preferred(self):
         dispatcher = make(targets=2, max_running=50)
         dispatcher.targets["t1"].decode_rate = 40.0
         dispatcher.targets["t1"].prefill_rate = 4000.0
         first = dispatcher.handle(m.Ask(work("x")), 0.0)[0]
         assert first.target == "t1"
 
-    def test_a_prefix_goes_where_it_was(self):
+    def test_cached_prefix_is_preferred(self):
         dispatcher = make(targets=4, max_running=50)
-        scene = {"prompt_tokens": 1100, "prefixes": (1, 2), "deadline": 100.0}
-        first = dispatcher.handle(m.Ask(work("x", **scene)), 0.0)[0]
+        request_fields = {"prompt_tokens": 1100, "prefixes": (1, 2), "deadline": 100.0}
+        first = dispatcher.handle(m.Ask(work("x", **request_fields)), 0.0)[0]
         dispatcher.handle(m.FirstToken("x", 1.1), 1.1)
         dispatcher.handle(m.Finished("x", m.Outcome.DONE, 10, 1.0), 2.0)
-        again = dispatcher.handle(m.Ask(work("y", now=3.0, **scene)), 3.0)[0]
+        again = dispatcher.handle(m.Ask(work("y", now=3.0, **request_fields)), 3.0)[0]
         assert again.target == first.target
 
 
 class TestFairness:
     def run_all(self, asks, **options):
-        """Serve one at a time; return the order of customers."""
+        """Serve one request at a time; return the customers in order of service."""
         dispatcher = make(targets=1, max_running=1, **options)
         fill(dispatcher, 1, prefix="first")
         for ask in asks:
@@ -304,22 +304,24 @@
             running = grants[0].work.ask if grants else None
         return order
 
-    def test_a_flood_does_not_hold_up_another(self):
+    def test_burst_does_not_delay_another_customer(self):
         asks = [work(n, customer="big", deadline=500) for n in range(40)]
         asks += [work(f"s{n}", customer="small", deadline=500) for n in range(4)]
         order = self.run_all(asks)
         assert order[:10].count("small") == 4
 
-    def test_a_flood_that_nears_its_deadline_does_not_go_first(self):
+    def test_urgent_burst_does_not_overtake_another_customer(self):
         dispatcher = make(targets=1, max_running=1)
         fill(dispatcher, 1, customer="heavy")
         for number in range(8):
-            flood = work(number, customer="big", deadline=6.0, output_tokens=1)
-            dispatcher.handle(m.Ask(flood), 0.0)
+            burst = work(number, customer="big", deadline=6.0, output_tokens=1)
+            dispatcher.handle(m.Ask(burst), 0.0)
         running, now = "f0", 5.75
         for number in range(3):
-            asked = work(f"s{number}", customer="small", now=now, output_tokens=1)
-            dispatcher.handle(m.Ask(asked), now)
+            small_request = work(
+                f"s{number}", customer="small", now=now, output_tokens=1
+            )
+            dispatcher.handle(m.Ask(small_request), now)
         order = []
         for _ in range(5):
             decisions = dispatcher.handle(m.Finished(running, m.Outcome.DONE), now)
@@ -328,7 +330,7 @@
             now += 0.01
         assert [name[0] for name in order].count("s") >= 2
 
-    def test_a_customer_at_its_limit_does_not_hold_up_another(self):
+    def test_customer_at_max_running_does_not_block_another(self):
         data = make_configuration(targets=1, max_running=4).model_dump()
         data["customers"]["big"]["max_running"] = 1
         configuration = load_configuration({"a.json": json.dumps(data)})[0]
@@ -339,21 +341,23 @@
         decisions = dispatcher.handle(m.Ask(work("s", customer="small")), 0.0)
         assert granted(decisions) == ["s"]
 
-    def test_a_scene_that_waits_for_its_cache_does_not_hold_up_another(self):
+    def test_request_that_waits_for_its_cache_does_not_block_another(self):
         dispatcher = make(targets=2, max_running=1)
-        scene = {"prompt_tokens": 1100, "prefixes": (1, 2), "deadline": 100.0}
-        (first,) = dispatcher.handle(m.Ask(work("x", customer="big", **scene)), 0.0)
+        request_fields = {"prompt_tokens": 1100, "prefixes": (1, 2), "deadline": 100.0}
+        (first,) = dispatcher.handle(
+            m.Ask(work("x", customer="big", **request_fields)), 0.0
+        )
         dispatcher.handle(m.FirstToken("x", 1.1), 1.1)
-        same = work("same", customer="big", now=1.2, **scene)
+        same = work("same", customer="big", now=1.2, **request_fields)
         assert dispatcher.handle(m.Ask(same), 1.2) == []
-        other = {**scene, "prefixes": (3, 4)}
+        other = {**request_fields, "prefixes": (3, 4)}
         decisions = dispatcher.handle(
             m.Ask(work("other", customer="small", now=1.3, **other)), 1.3
         )
         assert granted(decisions) == ["other"]
         assert decisions[0].target != first.target
 
-    def test_weights_share_the_pool(self):
+    def test_customers_share_by_weight(self):
         asks = [
             work(f"{customer}{n}", customer=customer, deadline=500)
             for n in range(40)
@@ -362,7 +366,7 @@
         order = self.run_all(asks)
         assert 14 <= order[:20].count("heavy") <= 18
 
-    def test_long_work_of_one_customer_is_not_starved_by_short(self):
+    def test_short_requests_do_not_starve_a_long_one(self):
         asks = [work("long", prompt_tokens=900, deadline=500)]
         asks += [work(n, deadline=500) for n in range(30)]
         assert len(self.run_all(asks)) == 31
@@ -372,7 +376,7 @@
     st.tuples(
         st.sampled_from(["ask", "ask", "ask", "done", "broken", "tick", "leave"]),
         st.sampled_from(list(RANKS)),
-        st.sampled_from(list(CUSTOMERS)),
+        st.sampled_from(list(CUSTOMER_WEIGHTS)),
         st.sampled_from([10, 10, 300, 3000]),
         st.floats(0.3, 20),
         st.floats(0, 3),
@@ -384,16 +388,16 @@
 class TestInvariants:
     @pytest.mark.parametrize("policy", POLICIES.primary_names)
     @given(STEPS)
-    def test_hold_for_any_sequence(self, policy, steps):
+    def test_any_message_sequence(self, policy, steps):
         dispatcher = make(policy=policy)
-        world = World(dispatcher)
+        model = DispatcherModel(dispatcher)
         for number, step in enumerate(steps):
-            world.take(number, *step)
-            world.check(policy)
+            model.take(number, *step)
+            model.check(policy)
 
 
-class World:
-    """Feeds a dispatcher and knows what waits and runs."""
+class DispatcherModel:
+    """Sends messages to a dispatcher and records what waits and runs."""
 
     def __init__(self, dispatcher):
         self.dispatcher, self.now = dispatcher, 0.0
@@ -401,10 +405,10 @@
         self.tiered = dispatcher._policy.tiered
         self.bounded = dispatcher._policy.bounded
 
-    def take(self, number, what, tier, customer, tokens, deadline, passed):
-        self.now += passed
+    def take(self, number, kind, tier, customer, tokens, deadline, elapsed):
+        self.now += elapsed
         message = m.Tick()
-        if what == "ask":
+        if kind == "ask":
             item = work(
                 number,
                 tier,
@@ -415,29 +419,29 @@
             )
             self.waiting[item.ask] = item
             message = m.Ask(item)
-        elif what in ("done", "broken", "leave") and self.running:
+        elif kind in ("done", "broken", "leave") and self.running:
             ask = sorted(self.running)[number % len(self.running)]
             del self.running[ask]
             outcome = {
                 "done": m.Outcome.DONE,
                 "broken": m.Outcome.BROKEN,
                 "leave": m.Outcome.CANCELLED,
-            }[what]
+            }[kind]
             message = m.Finished(ask, outcome, 10, 1.0)
-        for taken in self.dispatcher.handle(message, self.now):
-            self.apply(taken)
-
-    def apply(self, taken):
-        if isinstance(taken, m.Grant):
-            self.running[taken.work.ask] = self.waiting.pop(taken.work.ask)
-        elif isinstance(taken, m.Refuse):
-            del self.waiting[taken.work.ask]
-            self.check_refusal(taken)
+        for decided in self.dispatcher.handle(message, self.now):
+            self.apply(decided)
+
+    def apply(self, decided):
+        if isinstance(decided, m.Grant):
+            self.running[decided.work.ask] = self.waiting.pop(decided.work.ask)
+        elif isinstance(decided, m.Refuse):
+            del self.waiting[decided.work.ask]
+            self.check_refusal(decided)
         else:
-            assert taken.work.stoppable and taken.work.ask in self.running
+            assert decided.work.stoppable and decided.work.ask in self.running
 
     def check_refusal(self, refusal):
-        """No refusal for load while lower work waits or could be stopped."""
+        """Assert that no lower tier waits or could be stopped at a refusal for load."""
         assert refusal.retry_after > 0
         if not self.tiered or refusal.reason not in (m.Reason.LOAD, m.Reason.DEADLINE):
             return
@@ -454,7 +458,7 @@
         usable = [t for t in targets if t.usable(self.now)]
         idle = [t for t in usable if not t.running]
         short = [w for w in self.waiting.values() if w.prompt_tokens == 10]
-        assert not (idle and short), "work is conserved"
+        assert not (idle and short), "a short request waits while a target is idle"
         late = [w for w in self.waiting.values() if w.deadline + 0.001 < self.now]
         stopping = any(r.stopping for t in targets for r in t.running.values())
-        assert not late or stopping, "what is given up is answered at once"
+        assert not late or stopping, "an overdue request was not refused"
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -1,4 +1,4 @@
-"""A higher tier is never shed while a lower one is still served."""
+"""No higher tier is shed while a lower tier is served."""
 
 import asyncio
 
@@ -7,13 +7,13 @@
 
 from hibiscusstep.events import EventKind
 
-PAUSE_S = 0.35  # longer than the checker's slack between clocks
+PAUSE_S = 0.35  # more than the clock difference that the checker tolerates
 
 
 async def overload(
     cluster, tiers=("low", "mid", "high"), each=12, tokens=40, **options
 ):
-    """Send more than the pool can serve, through all instances, lowest tier first."""
+    """Send more requests than the pool can serve, lowest tier first."""
     tasks = []
     for tier in tiers:
         tasks += [
@@ -27,14 +27,14 @@
     return tasks
 
 
-def small(folder, **options):
+def small_cluster(folder, **options):
     options = {"deadline": 1.5, "max_running": 2, **options}
     return Cluster(folder, services=0, engines=2, **options)
 
 
 class TestOverload:
-    async def test_through_all_instances(self, tmp_path):
-        async with small(tmp_path) as cluster:
+    async def test_tier_order_across_instances(self, tmp_path):
+        async with small_cluster(tmp_path) as cluster:
             replies = await asyncio.gather(*await overload(cluster))
             outcomes = [reply.outcome for reply in replies]
             assert "not run" in outcomes and "whole" in outcomes
@@ -44,17 +44,19 @@
                 if reply.outcome == "not run"
             )
             refused = cluster.events(EventKind.REFUSED)
-            assert any(event.tier == "high" for event in refused), "not an overload"
+            assert any(event.tier == "high" for event in refused), (
+                "the pool was not overloaded"
+            )
             cluster.check()
 
-    async def test_without_the_guard_the_checker_finds_it(self, tmp_path):
+    async def test_checker_reports_violation_without_the_guard(self, tmp_path):
         settings = {"tier_guard_enabled": False}
-        async with small(tmp_path, settings=settings) as cluster:
+        async with small_cluster(tmp_path, settings=settings) as cluster:
             await asyncio.gather(*await overload(cluster))
             assert "tier order" in {f.promise for f in cluster.findings()}
 
-    async def test_lower_running_work_is_stopped_for_higher(self, tmp_path):
-        async with small(tmp_path) as cluster:
+    async def test_running_lower_tier_is_stopped(self, tmp_path):
+        async with small_cluster(tmp_path) as cluster:
             low = await overload(cluster, ["low"], each=2, tokens=400)
             await until(lambda: len(cluster.events(EventKind.DISPATCHED)) >= 4)
             high = await overload(cluster, ["high"], each=1, tokens=4)
@@ -65,9 +67,9 @@
             cluster.check()
 
 
-class TestDispatcherLost:
-    async def test_killed_in_an_overload(self, tmp_path):
-        async with small(tmp_path, instances=4, deadline=3.0) as cluster:
+class TestDispatcherLoss:
+    async def test_kill_during_overload(self, tmp_path):
+        async with small_cluster(tmp_path, instances=4, deadline=3.0) as cluster:
             tasks = await overload(cluster, each=6, tokens=30)
             await until(lambda: len(cluster.events(EventKind.COMPLETED)) >= 2)
             await cluster.kill(cluster.dispatcher("engine"))
@@ -75,8 +77,8 @@
             assert [r for r in replies if r.outcome == "whole"]
             cluster.check()
 
-    async def test_drained_in_an_overload_cuts_nothing(self, tmp_path):
-        async with small(tmp_path, instances=4, deadline=5.0) as cluster:
+    async def test_drain_during_overload_breaks_no_answer(self, tmp_path):
+        async with small_cluster(tmp_path, instances=4, deadline=5.0) as cluster:
             tasks = await overload(cluster, each=3, tokens=20)
             await until(lambda: len(cluster.events(EventKind.COMPLETED)) >= 2)
             await cluster.drain(cluster.dispatcher("engine"))
@@ -85,8 +87,8 @@
             cluster.check()
 
     @pytest.mark.parametrize("heal", [False, True])
-    async def test_instances_cut_in_two(self, tmp_path, heal):
-        async with small(tmp_path, instances=4, deadline=3.0) as cluster:
+    async def test_network_partition(self, tmp_path, heal):
+        async with small_cluster(tmp_path, instances=4, deadline=3.0) as cluster:
             tasks = await overload(cluster, each=3, tokens=30)
             cluster.cut(["e0", "e1"], ["e2", "e3"])
             if heal:
