--- a/hibiscusstep/forwarding/kept_use.py
+++ b/hibiscusstep/forwarding/kept_use.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.kept_use: customers' use, for after a restart of all."""
+"""hibiscusstep.forwarding.kept_use: token usage stored for a full restart."""
 
 import itertools
 import logging
@@ -6,177 +6,184 @@
 from collections.abc import Callable
 from dataclasses import asdict, dataclass
 
-from hibiscusstep.forwarding.usage import RECENT_STEP_S, UsageLedger
+from hibiscusstep.forwarding.usage import AGE_STEP_S, UsageLedger
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Tick, Worker
 from hibiscusstep.peer import Usage, UsageScope
 from hibiscusstep.store import UseStore
 
-__all__ = ["KeepUse", "KeptUse", "KeptUseWorker", "ReadUse", "UseRecorder"]
+__all__ = ["WriteUse", "StoredUse", "KeptUseWorker", "ReadUse", "StoredUsePlanner"]
 
 _LOG = logging.getLogger(__name__)
 _INCARNATION = "kept"
-# A write or a reading that failed is tried again after so many seconds.
+# Interval in seconds between attempts after a failed read or write.
 RETRY_INTERVAL_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class ReadUse:
-    """Asks for what was kept, once."""
+    """Requests that the stored usage is read, once."""
 
 
 @dataclass(frozen=True, slots=True)
-class KeptUse:
-    """What was kept before this instance started."""
+class StoredUse:
+    """The stored usage from before this instance started."""
 
     usage: Usage
 
 
 @dataclass(frozen=True, slots=True)
-class KeepUse:
-    """What is to be kept from now on."""
+class WriteUse:
+    """Usage to write to the store in place of the previous."""
 
     usage: Usage
 
 
-class UseRecorder:
-    """Decides when the store must learn of what customers used, and of what.
+class StoredUsePlanner:
+    """Decides when token usage is written to the store, and for which customers.
 
-    Only customers that used a good part of their limit are listed, and each again only
-    after it used some more: a customer at its limit costs about a write a second, the
-    others none. What it may have used since is added, so that a restart of all at any
-    moment finds no less than was used.
+    Only customers above a share of their limit are listed, and a customer causes a new
+    write only after some more usage: a customer at its limit causes about one write a
+    second, the others none. A margin for later usage is added, so that the document
+    never lists less than was used when all instances restart.
     """
 
-    # From this share of its limit on a customer is listed. The usual use of large
-    # customers is four tenths of it.
-    LISTED_FROM = 0.3
-    # It is listed again after it used this share of its limit; with one busy customer
-    # that is a call to the store each 1.2 s.
-    AGAIN_AFTER = 0.15
-    # What may be used beside that until the write stands: two tellings and a call, half
-    # a second, at a fifth of the limit a second.
+    # Share of its limit from which a customer is listed. Large customers usually use
+    # four tenths of it.
+    LISTED_MIN_SHARE = 0.3
+    # Further usage, as a share of the limit, that causes a new write; with one busy
+    # customer that is one call to the store every 1.2 s.
+    REWRITE_SHARE = 0.15
+    # Further usage, as a share of the limit, until the write is done: half a second for
+    # two exchanges and a call, at a fifth of the limit per second.
     UNWRITTEN_SHARE = 0.1
-    # Of a customer that was not listed this much may have been used at the most.
-    UNLISTED_SHARE = LISTED_FROM + AGAIN_AFTER + UNWRITTEN_SHARE
-    # Customers that no longer are near their limits stay listed for so many seconds: no
-    # write for each of their bursts.
-    DROP_AFTER_S = 4.0
+    # Maximum share of its limit that a customer that is not listed may have used.
+    UNLISTED_SHARE = LISTED_MIN_SHARE + REWRITE_SHARE + UNWRITTEN_SHARE
+    # Seconds for which customers stay listed after their usage has dropped, so that not
+    # every burst causes another write.
+    UNLIST_AFTER_S = 4.0
 
     def __init__(self) -> None:
-        # What was written of whom; None while the last writer's document stands.
-        self._written: dict[str, int] | None = None
+        # Totals by customer at the last write; None if none is valid.
+        self._written_totals: dict[str, int] | None = None
         self._written_at: float | None = None
 
-    def due(
+    def next_document(
         self, ledger: UsageLedger, limits: dict[str, float], now: float
     ) -> Usage | None:
-        """Return what is to be written, None if what stands there will do."""
-        used = {name: ledger.total_used(name, now) for name in limits}
-        near = [n for n, limit in limits.items() if used[n] >= self.LISTED_FROM * limit]
-        again = any(
-            self._used_since(ledger, name) >= self.AGAIN_AFTER * limits[name]
-            for name in near
+        """Return the document to write, or None if the stored one is sufficient."""
+        used = {name: ledger.total_usage(name, now) for name in limits}
+        to_list = [
+            n for n, limit in limits.items() if used[n] >= self.LISTED_MIN_SHARE * limit
+        ]
+        needs_write = any(
+            self._used_since_write(ledger, name) >= self.REWRITE_SHARE * limits[name]
+            for name in to_list
         )
-        if not again and not self._is_outdated(near, now):
+        if not needs_write and not self._is_outdated(to_list, now):
             return None
-        self._written = {name: ledger.of_all[name] for name in near}
+        self._written_totals = {name: ledger.all_totals[name] for name in to_list}
         self._written_at = now
-        rows = [self._row(ledger.by_age(name, now), limits[name]) for name in near]
+        rows = [
+            self._with_margin(ledger.by_age(name, now), limits[name])
+            for name in to_list
+        ]
         totals = [sum(row) for row in rows]
         recent = list(itertools.chain.from_iterable(rows))
-        return Usage(_INCARNATION, UsageScope.KEPT, near, totals, recent)
+        return Usage(_INCARNATION, UsageScope.KEPT, to_list, totals, recent)
 
-    def forget(self) -> None:
-        """Take what was written for lost."""
-        self._written = None
+    def mark_lost(self) -> None:
+        """Assume that the stored document is lost."""
+        self._written_totals = None
 
-    def _used_since(self, ledger: UsageLedger, name: str) -> float:
-        """Return what a customer used since it was listed."""
-        if self._written is None or name not in self._written:
+    def _used_since_write(self, ledger: UsageLedger, name: str) -> float:
+        """Return a customer's tokens since the last write that listed it."""
+        if self._written_totals is None or name not in self._written_totals:
             return math.inf
-        return ledger.of_all[name] - self._written[name]
+        return ledger.all_totals[name] - self._written_totals[name]
 
-    def _is_outdated(self, near: list[str], now: float) -> bool:
-        """Whether customers have been listed long enough who need not be."""
+    def _is_outdated(self, to_list: list[str], now: float) -> bool:
+        """Return whether customers that need not be listed can be dropped now."""
         if self._written_at is None:
             self._written_at = now
-        if now - self._written_at < self.DROP_AFTER_S:
+        if now - self._written_at < self.UNLIST_AFTER_S:
             return False
-        return self._written is None or bool(self._written.keys() - set(near))
+        return self._written_totals is None or bool(
+            self._written_totals.keys() - set(to_list)
+        )
 
-    def _row(self, ages: list[int], limit: float) -> list[int]:
-        """Return parts by age with what may still be used, no more than the limit."""
-        margin = round((self.AGAIN_AFTER + self.UNWRITTEN_SHARE) * limit)
-        left, row = round(limit), []
+    def _with_margin(self, ages: list[int], limit: float) -> list[int]:
+        """Return tokens by age plus the margin, limited to the customer's limit."""
+        margin = round((self.REWRITE_SHARE + self.UNWRITTEN_SHARE) * limit)
+        limit_left, row = round(limit), []
         for amount in (ages[0] + margin, *ages[1:]):
-            row.append(min(amount, left))
-            left -= row[-1]
+            row.append(min(amount, limit_left))
+            limit_left -= row[-1]
         return row
 
 
 class KeptUseWorker(Worker):
-    """Reads what was kept once, and writes what is to be kept.
+    """Reads the stored usage once and writes new usage.
 
     Parameters
     ----------
     store : UseStore
-        Keeps the document.
+        Holds the document.
     span : float
-        Seconds of the window.
-    found : callable of KeptUse
-        Takes what was read.
+        Length of the quota window in seconds.
+    on_read : callable of StoredUse
+        Receives the stored usage.
     """
 
     def __init__(
-        self, store: UseStore, span: float, found: Callable[[KeptUse], None]
+        self, store: UseStore, span: float, on_read: Callable[[StoredUse], None]
     ) -> None:
         super().__init__("kept-use", tick_interval=RETRY_INTERVAL_S)
         self._store = store
-        self._steps = -int(-span // RECENT_STEP_S)
-        self._found = found
-        self._wanted = self._read = False
+        self._steps = -int(-span // AGE_STEP_S)
+        self._on_read = on_read
+        self._read_requested = self._read_done = False
         self._unwritten: Usage | None = None
 
     async def handle(self, message) -> None:
-        """Take a wish to read, what is to be written, or a tick."""
+        """Process a read request, usage to write, or a tick."""
         match message:
             case ReadUse():
-                first, self._wanted = not self._wanted, True
-                if first:
-                    await self._read_kept()
-            case KeepUse(usage=usage):
+                first_request, self._read_requested = not self._read_requested, True
+                if first_request:
+                    await self._read_store()
+            case WriteUse(usage=usage):
                 self._unwritten = usage
                 await self._write()
             case Tick():
-                if self._wanted and not self._read:
-                    await self._read_kept()
+                if self._read_requested and not self._read_done:
+                    await self._read_store()
                 if self._unwritten:
                     await self._write()
 
-    async def _read_kept(self) -> None:
+    async def _read_store(self) -> None:
         reply = await self._store.read()
         if reply.is_err():
             decision("use-not-read", error=str(reply.unwrap_err()))
             return
-        self._read = True
-        usage = self._usage(reply.unwrap())
+        self._read_done = True
+        usage = self._parse_document(reply.unwrap())
         decision("use-read", customers=len(usage.customers))
-        self._found(KeptUse(usage))
+        self._on_read(StoredUse(usage))
 
-    def _usage(self, document: dict | None) -> Usage:
-        """Return a document as a message; none, or a malformed one, lists nobody."""
-        nobody = Usage(_INCARNATION, UsageScope.KEPT, [], [], [])
+    def _parse_document(self, document: dict | None) -> Usage:
+        """Parse a document; return empty usage if it is missing or malformed."""
+        empty = Usage(_INCARNATION, UsageScope.KEPT, [], [], [])
         if document is None:
-            return nobody
+            return empty
         try:
             customers = [str(name) for name in document["customers"]]
             recent = [max(0, int(amount)) for amount in document["recent"]]
             if len(recent) != self._steps * len(customers):
-                raise ValueError("not as many figures as customers have")
+                raise ValueError("wrong number of values in recent")
         except (KeyError, TypeError, ValueError, OverflowError) as cause:
-            _LOG.error("kept use ignored", extra={"error": repr(cause)})
-            return nobody
+            _LOG.error("malformed stored usage ignored", extra={"error": repr(cause)})
+            return empty
         rows = (
             recent[at : at + self._steps] for at in range(0, len(recent), self._steps)
         )
--- a/hibiscusstep/forwarding/quota.py
+++ b/hibiscusstep/forwarding/quota.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.quota: tokens of customers over a sliding window."""
+"""hibiscusstep.forwarding.quota: token quotas of customers in a sliding window."""
 
 import asyncio
 import heapq
@@ -6,9 +6,14 @@
 from dataclasses import dataclass
 
 from hibiscusstep.forwarding.bounds import Bounds
-from hibiscusstep.forwarding.kept_use import KeepUse, KeptUse, ReadUse, UseRecorder
+from hibiscusstep.forwarding.kept_use import (
+    ReadUse,
+    StoredUse,
+    StoredUsePlanner,
+    WriteUse,
+)
 from hibiscusstep.forwarding.model import CustomerRule
-from hibiscusstep.forwarding.quota_claim import Ticket
+from hibiscusstep.forwarding.quota_claim import TokenReservation
 from hibiscusstep.forwarding.quota_limit import QuotaLimit
 from hibiscusstep.forwarding.reach import Reach
 from hibiscusstep.forwarding.usage import UsageLedger
@@ -22,23 +27,23 @@
 
 __all__ = ["CustomersChanged", "QuotaKeeper"]
 
-# Instances tell each other what they let through this often; what happens in between
-# is bounded by the overage that a quota allows.
-TELL_INTERVAL_S = 0.2
-# An instance may take this many times its even part of what is left before the others
-# hear of it; or the part that it had in the window.
-UNTOLD_PARTS = 1.0
-# Where this many times what is asked for between two tellings is left, none is held
-# back: a large request must not be refused while much is left.
-AMPLE = 2.0
-# All totals are told again after so many intervals, for those that missed some.
-TELL_ALL_EVERY = 10
-# From a follower over its relay and another one to a third instance.
-GROUPED_HOPS = 3
-# Each instance logs what it believes of the customers nearest to their limits: so many
-# at the most, from this share of the limit on, every so many intervals (a second).
-LOG_USE_MOST = 3
-LOG_USE_FROM = 0.5
+# Interval at which instances exchange their token usage. Usage between two exchanges is
+# bounded by the allowed overage of a quota.
+SEND_INTERVAL_S = 0.2
+# An instance may use this many times its even share of the remaining tokens before the
+# other instances receive its totals, or the share that it had in the window.
+UNSENT_SHARES = 1.0
+# If at least this many times the demand between two exchanges remains, an instance is
+# not limited to its share, so that a large request is not refused while much remains.
+AMPLE_FACTOR = 2.0
+# Intervals after which all totals are sent again, for instances that missed some.
+SEND_ALL_EVERY = 10
+# Hops from a follower over its relay and another relay to a third instance.
+RELAYED_HOPS = 3
+# Each instance logs the usage of the customers nearest to their limits: at most this
+# many, from this share of the limit on, every this many intervals (one second).
+LOG_USE_MAX_CUSTOMERS = 3
+LOG_USE_MIN_SHARE = 0.5
 LOG_USE_EVERY = 5
 
 
@@ -50,26 +55,26 @@
 
 
 class QuotaKeeper(Worker):
-    """Counts what all instances let through; admits what stays within the quota.
+    """Tracks the token usage of all instances and enforces the quotas of customers.
 
-    Each instance tells its neighbours its totals a few times a second. A relay tells
-    the other relays the sum of its own and its followers', and each follower the sum
-    of all others. Instances out of reach are taken to use their even share, so that
-    the parts of a cut stay within the quota together.
+    Each instance sends its totals to its neighbours several times a second. A relay
+    sends the sum of its own usage and its followers' to the other relays, and the sum
+    of all others' to each follower. Unreachable instances are assumed to use their even
+    share, so that all sides of a network partition together stay within the quota.
 
-    One that starts asks what was used before: a living instance, which also knows what
-    ended ones used, or after a restart of all the store.
+    An instance that starts requests the earlier usage from a live instance, which also
+    knows that of ended instances, or after a full restart from the store.
 
     Parameters
     ----------
     incarnation, address : str
         Own incarnation and peer address.
     links : Worker
-        Sends to peers.
+        Sends messages to peers.
     bounds : Bounds
         Window and allowed overage.
-    kept : Worker or None
-        Reads and writes what is kept in the store; None where nothing is.
+    use_store : Worker or None
+        Reads and writes the stored usage; None if there is no store.
     """
 
     def __init__(
@@ -78,31 +83,31 @@
         address: str,
         links: Worker,
         bounds: Bounds,
-        kept: Worker | None = None,
+        use_store: Worker | None = None,
     ) -> None:
-        super().__init__("quota-keeper", tick_interval=TELL_INTERVAL_S)
+        super().__init__("quota-keeper", tick_interval=SEND_INTERVAL_S)
         self._incarnation = incarnation
         self._address = address
         self._links = links
-        self._kept = kept
+        self._use_store = use_store
         now = asyncio.get_running_loop().time()
         self._ledger = UsageLedger(incarnation, bounds.quota_window, now)
         self._reach = Reach(now)
         self._limit = QuotaLimit(bounds, self._ledger, self._reach)
-        self._recorder = UseRecorder()
+        self._planner = StoredUsePlanner()
         self._view = View()
         self._rules: dict[str, CustomerRule] = {}
         self._pending: dict[str, int] = defaultdict(int)
-        self._told: dict[str, int] = {}
-        self._told_all: dict[str, int] = {}
-        # Peer addresses of those that are told, and that tell.
+        self._sent_totals: dict[str, int] = {}
+        self._sent_all_totals: dict[str, int] = {}
+        # Peer addresses of the instances with which usage is exchanged.
         self._neighbours: list[str] = []
-        # Incarnations of the followers by peer address.
+        # Incarnations of followers by peer address.
         self._followers: dict[str, str] = {}
-        # Peer addresses that were asked since the last tick, and those that answered.
-        self._asked: set[str] = set()
+        # Peer addresses queried since the last tick, and those that have answered.
+        self._queried: set[str] = set()
         self._answered: set[str] = set()
-        self._informed = asyncio.Event()
+        self._history_known = asyncio.Event()
         self._ticks = 0
 
     @property
@@ -116,141 +121,141 @@
 
     @property
     def informed(self) -> bool:
-        """Whether it is known, or was kept, what was used before the start."""
-        return self._informed.is_set()
+        """Whether usage before the start is known, from peers or from the store."""
+        return self._history_known.is_set()
 
     async def wait_informed(self) -> None:
-        """Return when it is informed."""
-        await self._informed.wait()
+        """Wait until usage before the start is known."""
+        await self._history_known.wait()
 
     async def handle(self, message) -> None:
-        """Take a tick, a view, or what a peer or the store tells of customers' use."""
+        """Process a tick, a membership view, or usage from a peer or the store."""
         now = asyncio.get_running_loop().time()
-        self._take(message, now)
-        if not self.informed and self._ledger.knows_before(now):
-            self._informed.set()
+        self._process(message, now)
+        if not self.informed and self._ledger.knows_history(now):
+            self._history_known.set()
 
-    def _take(self, message, now: float) -> None:
+    def _process(self, message, now: float) -> None:
         match message:
             case Tick():
-                self._take_tick(now)
+                self._process_tick(now)
             case ViewChanged(view=view):
-                self._take_view(view, now)
+                self._process_view(view, now)
             case CustomersChanged(customers=customers):
                 self._rules = {rule.name: rule for rule in customers}
-            case KeptUse(usage=usage):
-                self._ledger.take_kept(usage, now)
-                self._tell_followers(now)
+            case StoredUse(usage=usage):
+                self._ledger.apply_stored(usage, now)
+                self._send_history_to_followers(now)
             case StoreRestored():
-                self._recorder.forget()
+                self._planner.mark_lost()
             case Received(sender=sender, message=body):
-                self._take_from_peer(body, sender, now)
+                self._process_peer_message(body, sender, now)
 
-    def _take_from_peer(self, message, sender: str, now: float) -> None:
-        """Take what a peer tells or asks."""
+    def _process_peer_message(self, message, sender: str, now: float) -> None:
+        """Process a message from a peer."""
         match message:
             case Usage() as usage:
-                meant = self._is_meant(usage, sender)
-                if meant and not self._ledger.hear(usage, now):
-                    self._ask(sender)
+                expected = self._is_expected(usage, sender)
+                if expected and not self._ledger.apply_update(usage, now):
+                    self._query(sender)
             case UsageAsk() as ask:
                 if sender == self._view.parent:
-                    self._take_relay(ask.incarnation)
-                self._tell_history(sender, now)
+                    self._process_relay(ask.incarnation)
+                self._send_history(sender, now)
             case UsageHistory() as history:
-                self._take_history(history, sender, now)
+                self._process_history(history, sender, now)
 
-    def _take_tick(self, now: float) -> None:
+    def _process_tick(self, now: float) -> None:
         self._ticks += 1
-        self._asked.clear()
-        self._ledger.forget_old(now)
-        self._look_back(now)
-        self._tell()
-        self._keep(now)
+        self._queried.clear()
+        self._ledger.drop_stale(now)
+        self._query_history(now)
+        self._send_changes()
+        self._write_use(now)
         if self._ticks % LOG_USE_EVERY == 0:
             self._log_use(now)
 
-    def _take_view(self, view: View, now: float) -> None:
-        """Tell new neighbours all that is known, ended instances' use too."""
-        before, self._view = self._view, view
+    def _process_view(self, view: View, now: float) -> None:
+        """Apply a membership view and send the usage history to new neighbours."""
+        previous, self._view = self._view, view
         followers = view.followers.values()
         self._followers = {f.peer_address: f.incarnation for f in followers}
         known = set(self._neighbours)
-        if view.parent != before.parent:
-            self._ledger.set_apart(self._told)
+        if view.parent != previous.parent:
+            self._ledger.detach_sent(self._sent_totals)
             self._answered.clear()
-            self._ask(view.parent)
+            self._query(view.parent)
         self._reach.take_view(view, now)
         self._neighbours = view.neighbours(self._address)
         for address in set(self._neighbours) - known:
-            self._tell_history(address, now)
-        self._read_kept(now)
+            self._send_history(address, now)
+        self._request_stored_use(now)
 
-    def _look_back(self, now: float) -> None:
-        """Ask what was used before the start, until it is known."""
+    def _query_history(self, now: float) -> None:
+        """Query neighbours for usage before the start until it is known."""
         if self._ledger.knows_window(now):
             return
-        blind = not self._ledger.knows_before(now)
+        history_unknown = not self._ledger.knows_history(now)
         for address in self._neighbours:
-            if blind or address not in self._answered:
-                self._ask(address)
+            if history_unknown or address not in self._answered:
+                self._query(address)
 
-    def _read_kept(self, now: float) -> None:
-        """Have read what was kept, unless a relay knows it or the window is known."""
-        if self._kept is None or self._ledger.knows_window(now):
+    def _request_stored_use(self, now: float) -> None:
+        """Request the stored usage unless there is a relay or the window is known."""
+        if self._use_store is None or self._ledger.knows_window(now):
             return
         if self._view.settled and not self._view.parent:
-            self._kept.tell(ReadUse())
+            self._use_store.tell(ReadUse())
 
-    def _ask(self, address: str) -> None:
-        """Ask a neighbour for all that it knows, once between two ticks."""
-        if address and address not in self._asked:
-            self._asked.add(address)
+    def _query(self, address: str) -> None:
+        """Query a neighbour for its usage history, at most once per tick."""
+        if address and address not in self._queried:
+            self._queried.add(address)
             self._links.tell(Send(address, UsageAsk(self._incarnation)))
 
-    def _tell_followers(self, now: float) -> None:
+    def _send_history_to_followers(self, now: float) -> None:
         for address in self._followers:
-            self._tell_history(address, now)
+            self._send_history(address, now)
 
-    def _take_relay(self, incarnation: str) -> None:
-        """Take note that the relay that is followed may be another process."""
-        if self._ledger.follows_another(incarnation):
-            self._ledger.set_apart(self._told)
+    def _process_relay(self, incarnation: str) -> None:
+        """Detach the usage already sent if the relay has another incarnation."""
+        if self._ledger.relay_changed(incarnation):
+            self._ledger.detach_sent(self._sent_totals)
 
-    def _tell_history(self, address: str, now: float) -> None:
+    def _send_history(self, address: str, now: float) -> None:
         scope = self._scope_for(address)
         if scope:
             follower = self._followers.get(address, "")
-            history = self._ledger.history(scope, now, follower)
+            history = self._ledger.make_history(scope, now, follower)
             history.instances = self._reach.alive + self._reach.silent(now)
             self._links.tell(Send(address, history))
 
     def _scope_for(self, address: str) -> str:
-        """Return whose use the peer at an address is told; empty if none."""
+        """Return the scope of the usage to send to a peer; empty if none is sent."""
         if self._view.parent:
             return UsageScope.FOLLOWER if address == self._view.parent else ""
         return UsageScope.ALL if address in self._followers else UsageScope.GROUP
 
-    def _is_meant(self, usage: Usage, sender: str) -> bool:
-        """Whether a peer tells it to what this instance is: follower or relay."""
+    def _is_expected(self, usage: Usage, sender: str) -> bool:
+        """Whether the scope and the sender fit the role of this instance."""
         if self._view.parent:
             return usage.scope == UsageScope.ALL and sender == self._view.parent
         return usage.scope != UsageScope.ALL
 
-    def _take_history(self, history: UsageHistory, sender: str, now: float) -> None:
-        if not history.usages or not self._is_meant(history.usages[0], sender):
+    def _process_history(self, history: UsageHistory, sender: str, now: float) -> None:
+        if not history.usages or not self._is_expected(history.usages[0], sender):
             return
         self._answered.add(sender)
         older = history.age > self._ledger.age(now)
         if older and not self._ledger.knows_window(now):
             self._reach.take_told(history.instances, now)
         if self._view.parent:
-            self._take_relay(history.usages[0].incarnation)
-        before = self._ledger.known_for(now)
-        self._ledger.take_history(history, now)
+            self._process_relay(history.usages[0].incarnation)
+        previous = self._ledger.known_for(now)
+        self._ledger.apply_history(history, now)
         known_for = self._ledger.known_for(now)
-        if known_for > before:
-            self._tell_followers(now)
+        if known_for > previous:
+            self._send_history_to_followers(now)
             decision(
                 "use-heard",
                 known_for=round(known_for, 1),
@@ -258,25 +263,30 @@
                 kept_known=history.kept_known,
             )
 
-    def admit(
+    def reserve(
         self, customer: CustomerRule, tokens: int, request: str = ""
-    ) -> Ticket | None:
-        """Set tokens aside for a request; None if they are beyond the quota."""
+    ) -> TokenReservation | None:
+        """Reserve tokens for a request; return None if they exceed the quota."""
         if not customer.quota.rate:
-            return Ticket(self, customer.name, 0)
+            return TokenReservation(self, customer.name, 0)
         if not self.fits(customer, tokens, request):
             return None
         self._pending[customer.name] += tokens
-        return Ticket(self, customer.name, tokens)
+        return TokenReservation(self, customer.name, tokens)
 
     def fits(self, customer: CustomerRule, tokens: int, request: str = "") -> bool:
-        """Return whether tokens are within the quota; log it if they are not."""
+        """Return whether tokens are within the quota; log a refusal if they are not."""
         if not customer.quota.rate:
             return True
         now = asyncio.get_running_loop().time()
-        limit, used = self._limit.at(customer, now), self.used(customer.name, now)
-        left = limit - used
-        if tokens > left or not self._may_go_untold(customer.name, tokens, left, now):
+        limit, used = (
+            self._limit.current_limit(customer, now),
+            self.used(customer.name, now),
+        )
+        remaining = limit - used
+        if tokens > remaining or not self._fits_before_exchange(
+            customer.name, tokens, remaining, now
+        ):
             self._log_refusal(request, customer, tokens, now)
             return False
         return True
@@ -289,31 +299,31 @@
             tokens=tokens,
             rate=quota.rate,
             burst=quota.burst,
-            last_second=int(self._ledger.lately(name, now)),
+            last_second=int(self._ledger.recent_others_usage(name, now)),
             pending=self._pending[name],
-            **self._belief(customer, now),
+            **self._usage_fields(customer, now),
         )
 
     def _log_use(self, now: float) -> None:
-        """Log those nearest to their limits of the customers that were let through."""
+        """Log the usage of the active customers nearest to their limits."""
         shares = {
-            name: self.used(name, now) / self._limit.at(rule, now)
+            name: self.used(name, now) / self._limit.current_limit(rule, now)
             for name, rule in self._rules.items()
-            if rule.quota.rate and self._ledger.own(name, now)
+            if rule.quota.rate and self._ledger.own_usage(name, now)
         }
-        near = [name for name, share in shares.items() if share >= LOG_USE_FROM]
-        for name in heapq.nlargest(LOG_USE_MOST, near, key=shares.get):
-            decision("customer-use", **self._belief(self._rules[name], now))
+        near = [name for name, share in shares.items() if share >= LOG_USE_MIN_SHARE]
+        for name in heapq.nlargest(LOG_USE_MAX_CUSTOMERS, near, key=shares.get):
+            decision("customer-use", **self._usage_fields(self._rules[name], now))
 
-    def _belief(self, customer: CustomerRule, now: float) -> dict:
-        """Return what is believed of a customer's use, as fields of a log line."""
+    def _usage_fields(self, customer: CustomerRule, now: float) -> dict:
+        """Return a customer's usage and limit as fields of a log line."""
         ledger, name = self._ledger, customer.name
         return {
             "customer": name,
-            "limit": int(self._limit.at(customer, now)),
+            "limit": int(self._limit.current_limit(customer, now)),
             "used": int(self.used(name, now)),
-            "own": int(ledger.own(name, now)),
-            "others": int(ledger.others(name, now)),
+            "own": int(ledger.own_usage(name, now)),
+            "others": int(ledger.others_usage(name, now)),
             "window": self.bounds.quota_window,
             "known_for": round(ledger.known_for(now), 1),
             "kept_known": ledger.listed is not None,
@@ -322,48 +332,61 @@
         }
 
     def settle(self, name: str, tokens: int, used: bool) -> None:
-        """End a ticket."""
+        """End a reservation and count its tokens if they were used."""
         self._pending[name] -= tokens
         if used and tokens:
-            self._ledger.use(name, tokens, asyncio.get_running_loop().time())
+            self._ledger.add_own(name, tokens, asyncio.get_running_loop().time())
 
     def used(self, name: str, now: float) -> float:
-        """Return the tokens of the window, with a guess at what is not yet heard."""
+        """Return the tokens used in the window, with an estimate of unreported ones."""
         ledger = self._ledger
-        unheard = ledger.lately(name, now) * self._delay
-        counted = ledger.own(name, now) + ledger.others(name, now)
-        return counted + self._pending[name] + unheard
+        unreported = ledger.recent_others_usage(name, now) * self._max_delay_s
+        counted = ledger.own_usage(name, now) + ledger.others_usage(name, now)
+        return counted + self._pending[name] + unreported
 
     @property
-    def _delay(self) -> float:
-        """Seconds until an instance has heard of another one's use, at the most."""
-        return (1 if self._view.is_mesh else GROUPED_HOPS) * TELL_INTERVAL_S
-
-    def _may_go_untold(self, name: str, tokens: int, left: float, now: float) -> bool:
-        """Whether others may well take as much before all have heard of each other."""
+    def _max_delay_s(self) -> float:
+        """Maximum seconds until an instance receives another instance's usage."""
+        return (1 if self._view.is_mesh else RELAYED_HOPS) * SEND_INTERVAL_S
+
+    def _fits_before_exchange(
+        self, name: str, tokens: int, remaining: float, now: float
+    ) -> bool:
+        """Whether the limit holds if all instances use as much before they exchange."""
         ledger = self._ledger
-        sent = ledger.of_group[name] - self._told.get(name, 0)
-        untold = sent + self._pending[name]
-        lately = ledger.lately(name, now)
-        alive = self._reach.likely_size
-        if alive == 1:
+        used_unsent = ledger.group_totals[name] - self._sent_totals.get(name, 0)
+        unsent = used_unsent + self._pending[name]
+        recent = ledger.recent_others_usage(name, now)
+        instance_count = self._reach.likely_size
+        if instance_count == 1:
             return True
-        others = ledger.others(name, now)
-        heard = bool(self._neighbours)
-        if heard and AMPLE * (lately * self._delay + untold + tokens) <= left:
+        others = ledger.others_usage(name, now)
+        has_neighbours = bool(self._neighbours)
+        if (
+            has_neighbours
+            and AMPLE_FACTOR * (recent * self._max_delay_s + unsent + tokens)
+            <= remaining
+        ):
             return True
-        own = max(0.0, ledger.own(name, now) - sent)
-        part = max(UNTOLD_PARTS / alive, own / max(1.0, own + others) if heard else 0.0)
-        return untold + tokens <= part * (left + untold)
-
-    def _tell(self) -> None:
-        """Tell the neighbours the totals that changed, and now and then all of them."""
-        every = self._ticks % TELL_ALL_EVERY == 0
-        changed = _changed(self._ledger.of_group, {} if every else self._told)
-        changed_all = _changed(self._ledger.of_all, {} if every else self._told_all)
+        own = max(0.0, ledger.own_usage(name, now) - used_unsent)
+        allowed_share = max(
+            UNSENT_SHARES / instance_count,
+            own / max(1.0, own + others) if has_neighbours else 0.0,
+        )
+        return unsent + tokens <= allowed_share * (remaining + unsent)
+
+    def _send_changes(self) -> None:
+        """Send changed totals to the neighbours, and periodically all totals."""
+        send_all = self._ticks % SEND_ALL_EVERY == 0
+        changed = _changed_names(
+            self._ledger.group_totals, {} if send_all else self._sent_totals
+        )
+        changed_all = _changed_names(
+            self._ledger.all_totals, {} if send_all else self._sent_all_totals
+        )
         if self._neighbours:
-            self._told = dict(self._ledger.of_group)
-            self._told_all = dict(self._ledger.of_all)
+            self._sent_totals = dict(self._ledger.group_totals)
+            self._sent_all_totals = dict(self._ledger.all_totals)
         for address in self._neighbours:
             scope = self._scope_for(address)
             names = changed_all if scope == UsageScope.ALL else changed
@@ -373,24 +396,24 @@
                 usage = Usage(self._incarnation, scope, names, totals)
                 self._links.tell(Send(address, usage))
 
-    def _keep(self, now: float) -> None:
-        """Have the use of customers near their limits kept, if it is up to this one."""
-        if self._kept is None or not self._ledger.knows_before(now):
+    def _write_use(self, now: float) -> None:
+        """Store the usage of customers near their limits, if this is its duty."""
+        if self._use_store is None or not self._ledger.knows_history(now):
             return
         if not self._view.has_duty("customers' use", self._address):
             return
         if self._reach.alive < self._reach.silent(now):
-            # The greater part of a cut keeps what it used; one document is kept.
+            # There is one document; the larger side of a partition writes it.
             return
         limits = {
-            name: self._limit.whole(rule)
+            name: self._limit.full_limit(rule)
             for name, rule in self._rules.items()
             if rule.quota.rate
         }
-        document = self._recorder.due(self._ledger, limits, now)
+        document = self._planner.next_document(self._ledger, limits, now)
         if document is not None:
-            self._kept.tell(KeepUse(document))
+            self._use_store.tell(WriteUse(document))
 
 
-def _changed(totals: dict[str, int], told: dict[str, int]) -> list[str]:
-    return [name for name, total in totals.items() if total != told.get(name)]
+def _changed_names(totals: dict[str, int], sent_totals: dict[str, int]) -> list[str]:
+    return [name for name, total in totals.items() if total != sent_totals.get(name)]
--- a/hibiscusstep/forwarding/quota_claim.py
+++ b/hibiscusstep/forwarding/quota_claim.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.quota_claim: a request's part of a customer's quota."""
+"""hibiscusstep.forwarding.quota_claim: token reservations of requests."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 if TYPE_CHECKING:
     from hibiscusstep.forwarding.quota import QuotaKeeper
 
-__all__ = ["QUOTA_RETRY_S", "QuotaClaim", "Ticket"]
+__all__ = ["QUOTA_RETRY_S", "QuotaClaim", "TokenReservation"]
 
-# Whoever is beyond a quota may come again after so many seconds.
+# Retry-After, in seconds, of a request that exceeds a quota.
 QUOTA_RETRY_S = 1.0
 
 
-class Ticket:
-    """A request's tokens, set aside until it is sent to a target or given up.
+class TokenReservation:
+    """Tokens reserved for a request until it is dispatched or dropped.
 
     Parameters
     ----------
     keeper : QuotaKeeper
-        Where they are counted.
+        Counts the tokens.
     customer : str
-        Whose they are.
+        Name of the customer.
     tokens : int
-        How many.
+        Number of tokens.
     """
 
     __slots__ = ("_customer", "_keeper", "_open", "_tokens")
@@ -36,33 +36,33 @@
         self._tokens = tokens
         self._open = True
 
-    def use(self) -> None:
+    def commit(self) -> None:
         """Count the tokens as used, once."""
         if self._open:
             self._open = False
             self._keeper.settle(self._customer, self._tokens, used=True)
 
     def release(self) -> None:
-        """Give the tokens back if they were not used."""
+        """Return the tokens to the quota if they were not used."""
         if self._open:
             self._open = False
             self._keeper.settle(self._customer, self._tokens, used=False)
 
 
 class QuotaClaim:
-    """A request's wish for tokens, set aside only once it has a target.
+    """The tokens of a request, reserved only once the request has a target.
 
-    What waits may still be refused for load: counted while it waited, a burst of one
-    customer was refused by quota for what it never used.
+    A waiting request may still be refused for load. If waiting requests held
+    reservations, a burst would be refused by quota for tokens that it never uses.
 
     Parameters
     ----------
     keeper : QuotaKeeper
-        Where they are counted.
+        Counts the tokens.
     customer : CustomerRule
-        Whose they are.
+        The customer.
     tokens : int
-        How many.
+        Number of tokens.
     request : str
         Id of the request, for the log.
     """
@@ -76,21 +76,21 @@
         self._customer = customer
         self._tokens = tokens
         self._request = request
-        self._ticket: Ticket | None = None
+        self._ticket: TokenReservation | None = None
 
     @property
     def tokens(self) -> int:
-        """What the request counts as."""
+        """Number of tokens that the request counts for."""
         return self._tokens
 
     def fits(self) -> bool:
-        """Whether the tokens are within the quota now."""
+        """Return whether the tokens are within the quota now."""
         return self._keeper.fits(self._customer, self._tokens, self._request)
 
     def take(self) -> bool:
-        """Set the tokens aside, once; return whether they are."""
+        """Reserve the tokens unless they already are; return whether they are."""
         if self._ticket is None:
-            self._ticket = self._keeper.admit(
+            self._ticket = self._keeper.reserve(
                 self._customer, self._tokens, self._request
             )
         return self._ticket is not None
@@ -98,9 +98,9 @@
     def use(self) -> None:
         """Count the tokens as used, once."""
         if self._ticket is not None:
-            self._ticket.use()
+            self._ticket.commit()
 
     def release(self) -> None:
-        """Give the tokens back if they were set aside and not used."""
+        """Return the tokens to the quota if they were reserved but not used."""
         if self._ticket is not None:
             self._ticket.release()
--- a/hibiscusstep/forwarding/window.py
+++ b/hibiscusstep/forwarding/window.py
@@ -1,18 +1,18 @@
-"""hibiscusstep.forwarding.window: sums over the last seconds."""
+"""hibiscusstep.forwarding.window: sums over a sliding time window."""
 
 from bisect import insort
 from collections import deque
 
-__all__ = ["Window"]
+__all__ = ["SlidingWindow"]
 
 
-class Window:
-    """A sum over the last seconds.
+class SlidingWindow:
+    """A sum of amounts over a sliding time window.
 
     Parameters
     ----------
     span : float
-        Seconds.
+        Length of the window in seconds.
     """
 
     def __init__(self, span: float) -> None:
@@ -21,7 +21,7 @@
         self._sum = 0.0
 
     def add(self, amount: float, at: float) -> None:
-        """Count an amount at a moment, which may be an earlier one."""
+        """Add an amount at a time, which may precede earlier additions."""
         if self._parts and at < self._parts[-1][0]:
             insort(self._parts, (at, amount))
         else:
@@ -29,30 +29,30 @@
         self._sum += amount
 
     def total(self, now: float) -> float:
-        """Return the sum."""
+        """Return the sum of the amounts in the window."""
         while self._parts and self._parts[0][0] <= now - self._span:
             self._sum -= self._parts.popleft()[1]
         return self._sum
 
-    def take_older(self, newest: float) -> list[tuple[float, float]]:
-        """Take out all but the newest parts that add up to so much; return them."""
-        kept: deque[tuple[float, float]] = deque()
+    def pop_older(self, newest_sum: float) -> list[tuple[float, float]]:
+        """Remove and return all but the newest amounts, which sum to `newest_sum`."""
+        remaining: deque[tuple[float, float]] = deque()
         older: list[tuple[float, float]] = []
         for at, amount in reversed(self._parts):
-            part = min(amount, newest)
-            newest -= part
+            part = min(amount, newest_sum)
+            newest_sum -= part
             if part:
-                kept.appendleft((at, part))
+                remaining.appendleft((at, part))
             if amount > part:
                 older.append((at, amount - part))
-        self._parts = kept
-        self._sum = sum(amount for _at, amount in kept)
+        self._parts = remaining
+        self._sum = sum(amount for _at, amount in remaining)
         return older
 
     def by_age(self, now: float, step: float) -> list[float]:
-        """Return the parts of the sum by age in steps of so many seconds, newest first.
+        """Return the sums by age in steps of `step` seconds, newest first.
 
-        As many as the span has.
+        The list covers the whole window.
         """
         self.total(now)
         sums = [0.0] * -int(-self._span // step)
--- a/tests/quota_region.py
+++ b/tests/quota_region.py
@@ -1,4 +1,4 @@
-"""A region of quota keepers without network, on a clock of the test's own."""
+"""A simulated region of quota keepers, without a network."""
 
 import asyncio
 import itertools
@@ -21,19 +21,19 @@
 
 STEP_S = 0.02
 TICK_S = 0.2
-# From one instance to another.
+# Network delay between two instances.
 DELAY_S = 0.02
-# Tokens of a request in the mean.
+# Mean tokens per request.
 REQUEST_TOKENS = 3000
-# Seconds from the start of an instance until it and the others know each other.
-MEET_S = 0.3
-# Seconds for which requests wait at an instance that is not informed yet.
-PATIENCE_S = 1.0
-# Seconds for which an instance counts the others by the list.
-NEW_S = 3.0
+# Seconds from the start of an instance until it and the others are connected.
+CONNECT_S = 0.3
+# Seconds for which requests wait at an instance that does not know earlier usage yet.
+MAX_WAIT_S = 1.0
+# Seconds after its start for which an instance uses the listed instance count.
+USE_LIST_S = 3.0
 
 
-class _Links:
+class _FakeLinks:
     def __init__(self):
         self.sent = []
 
@@ -42,7 +42,7 @@
 
 
 class Store(UseStore):
-    """Counts its calls; answers at once unless it is away."""
+    """A store that counts its calls and fails while `away` is set."""
 
     def __init__(self):
         self.document = None
@@ -67,7 +67,7 @@
 class Instance:
     incarnation: str
     keeper: QuotaKeeper
-    links: _Links
+    links: _FakeLinks
     worker: KeptUseWorker
     started: float
     next_tick: float
@@ -77,7 +77,7 @@
 
 
 @dataclass(order=True)
-class _OnItsWay:
+class _InFlight:
     due: float
     serial: int
     sender: int
@@ -86,18 +86,18 @@
 
 
 class QuotaRegion:
-    """Instances that admit one customer's requests, and hear each other.
+    """Simulated instances that serve one customer and exchange its token usage.
 
     Parameters
     ----------
     count : int
-        Instances.
+        Number of instances.
     rate : float
-        Tokens a second that the customer may use; the same once more as a burst.
+        Quota of the customer in tokens per second; its burst is as many tokens.
     seed : int
-        Of the requests.
+        Seed of the requests.
     kept : bool
-        Whether a store keeps what was used.
+        Whether there is a store for the usage.
     """
 
     WINDOW_S = 8.0
@@ -114,33 +114,33 @@
         self.refused = 0
         self.asked = 0
         self.instances = {}
-        # Instances that neither hear the others nor are heard by them.
+        # Instances that are partitioned from the others.
         self.cut = set()
         self.count = count
         self._random = random.Random(seed)
         self._serial = itertools.count()
-        self._way = []
+        self._in_flight = []
         for number in range(count):
             self.start(number)
 
     @property
-    def most(self):
-        """Tokens that may be used in any window."""
+    def limit(self):
+        """Maximum tokens allowed in any window."""
         quota, bounds = self.rule.quota, self.bounds
         whole = quota.rate * bounds.quota_window + quota.burst
         return whole * (1 + bounds.quota_overage) + bounds.quota_slack
 
     @property
-    def heaviest(self):
-        """The most tokens used in any window."""
+    def max_used(self):
+        """Maximum tokens used in any window."""
         return max((self.used_since(at) for at, _ in self.history), default=0)
 
     def used_since(self, start):
-        """Tokens used in the window that begins at a moment."""
+        """Tokens used in the window that begins at `start`."""
         return sum(t for at, t in self.history if start <= at < start + self.WINDOW_S)
 
     def start(self, number):
-        links = _Links()
+        links = _FakeLinks()
         found = []
         worker = KeptUseWorker(self.store, self.WINDOW_S, found.append)
         worker.told, worker.found = [], found
@@ -163,20 +163,20 @@
             del self.instances[number]
 
     async def play(self, seconds, demand=0.0):
-        """Let time pass; the customer asks for `demand` times its rate."""
+        """Advance the time; the customer requests `demand` times its rate."""
         for _ in range(round(seconds / STEP_S)):
-            await self._meet()
+            await self._update_views()
             self._request(demand)
             await self._tick()
             await self._deliver()
             self.now += STEP_S
 
-    async def _meet(self):
-        """Tell each instance who lives; one that has just started knows nobody."""
-        met = {n for n, i in self.instances.items() if self._has_met(i)}
+    async def _update_views(self):
+        """Send each instance its view; a new instance sees only itself."""
+        connected = {n for n, i in self.instances.items() if self._is_connected(i)}
         for number, instance in self.instances.items():
-            hears = {n for n in met if self._same_side(n, number)}
-            seen = frozenset(hears | {number} if number in met else {number})
+            reachable = {n for n in connected if self._same_side(n, number)}
+            seen = frozenset(reachable | {number} if number in connected else {number})
             lost = {n for n in instance.seen - seen if not self._same_side(n, number)}
             instance.silent = (instance.silent | lost) - seen
             instance.seen = seen
@@ -189,7 +189,7 @@
             await instance.keeper.handle(CustomersChanged((self.rule,)))
 
     def view(self, number, seen, silent, listed):
-        """Return the view of an instance that sees others."""
+        """Return the membership view of an instance."""
         members = {f"i{n}": self.member(n) for n in seen}
         return View(members, silent, listed=listed)
 
@@ -204,29 +204,29 @@
         return (one in self.cut) == (other in self.cut)
 
     def _listed(self, instance):
-        """Instances that start together do not find each other on the list at once."""
-        return self.count if self.now - instance.started < NEW_S else 0
+        """Return the listed instance count, which is used only after a start."""
+        return self.count if self.now - instance.started < USE_LIST_S else 0
 
-    def _has_met(self, instance):
-        return self.now - instance.started >= MEET_S or instance.started == 1000.0
+    def _is_connected(self, instance):
+        return self.now - instance.started >= CONNECT_S or instance.started == 1000.0
 
     def _request(self, demand):
         expected = demand * self.rule.quota.rate * STEP_S / REQUEST_TOKENS
         count = int(expected) + (self._random.random() < expected % 1)
-        takers = [i.keeper for i in self.instances.values() if self._takes(i)]
-        for _ in range(count if takers else 0):
+        accepting = [i.keeper for i in self.instances.values() if self._accepts(i)]
+        for _ in range(count if accepting else 0):
             tokens = 60 + int(self._random.expovariate(1 / (REQUEST_TOKENS - 60)))
-            keeper = self._random.choice(takers)
+            keeper = self._random.choice(accepting)
             self.asked += tokens
-            if ticket := keeper.admit(self.rule, tokens):
-                ticket.use()
+            if reservation := keeper.reserve(self.rule, tokens):
+                reservation.commit()
                 self.history.append((self.now, tokens))
             else:
                 self.refused += tokens
 
-    def _takes(self, instance):
-        """One that has just started lets requests wait until it is informed."""
-        return instance.keeper.informed or self.now - instance.started > PATIENCE_S
+    def _accepts(self, instance):
+        """Return whether requests no longer wait for the earlier usage."""
+        return instance.keeper.informed or self.now - instance.started > MAX_WAIT_S
 
     async def _tick(self):
         for instance in list(self.instances.values()):
@@ -234,10 +234,10 @@
                 instance.next_tick += TICK_S
                 await instance.keeper.handle(Tick())
                 await instance.worker.handle(Tick())
-            await self._store_of(instance)
+            await self._run_store_calls(instance)
 
-    async def _store_of(self, instance):
-        """Let the store take what an instance writes, and answer what it reads."""
+    async def _run_store_calls(self, instance):
+        """Run the store calls of an instance and deliver the results."""
         worker = instance.worker
         while worker.told:
             await worker.handle(worker.told.pop(0))
@@ -249,25 +249,29 @@
             for send in instance.links.sent:
                 due, to = self.now + DELAY_S, int(send.address[1:])
                 serial = next(self._serial)
-                self._way.append(_OnItsWay(due, serial, number, to, send.message))
+                self._in_flight.append(_InFlight(due, serial, number, to, send.message))
             instance.links.sent.clear()
-        arrived = sorted(way for way in self._way if way.due <= self.now)
-        self._way = [way for way in self._way if way.due > self.now]
-        for way in arrived:
-            if way.to in self.instances and self._same_side(way.sender, way.to):
-                sent = way.message
+        arrived = sorted(packet for packet in self._in_flight if packet.due <= self.now)
+        self._in_flight = [
+            packet for packet in self._in_flight if packet.due > self.now
+        ]
+        for packet in arrived:
+            if packet.to in self.instances and self._same_side(
+                packet.sender, packet.to
+            ):
+                sent = packet.message
                 message = codec.decode(type(sent), codec.encode(sent))
-                received = Received(f"a{way.sender}", message)
-                await self.instances[way.to].keeper.handle(received)
+                received = Received(f"a{packet.sender}", message)
+                await self.instances[packet.to].keeper.handle(received)
 
 
 class RelayedQuotaRegion(QuotaRegion):
-    """One in which the first two instances relay between all others."""
+    """A region whose first two instances are relays."""
 
     RELAYS = 2
 
     def view(self, number, seen, silent, listed):
-        """Each other instance follows a relay that it sees, its own one first."""
+        """Return the view; followers prefer their own relay if they see it."""
         relays = [n for n in seen if n < self.RELAYS]
         members = {f"i{n}": self.member(n, n in relays) for n in {*relays, number}}
         others = len(seen) - len(members)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.quota: the sum over all instances."""
+"""Quotas hold for the sum over all instances (hibiscusstep.forwarding.quota)."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from hibiscusstep.forwarding.model import CustomerRule, Quota
 from hibiscusstep.forwarding.quota import QuotaKeeper
 from hibiscusstep.forwarding.quota_claim import QuotaClaim
-from hibiscusstep.forwarding.window import Window
+from hibiscusstep.forwarding.window import SlidingWindow
 from hibiscusstep.mailbox import Tick
 from hibiscusstep.membership.view import Member, View
 from hibiscusstep.membership.worker import ViewChanged
@@ -14,10 +14,10 @@
 
 BOUNDS = Bounds(quota_window=8.0, quota_overage=0.1, quota_slack=50.0)
 RULE = CustomerRule("c", frozenset(), None, Quota(100.0, 100.0, 10))
-MOST = (100 * 8 + 100) * 1.1 + 50
+MAX_WINDOW_TOKENS = (100 * 8 + 100) * 1.1 + 50
 
 
-class _Links:
+class _FakeLinks:
     def __init__(self):
         self.sent = []
 
@@ -30,32 +30,32 @@
 
 
 class Fleet:
-    """Keepers that hear each other, on a clock of the test's."""
+    """Connected quota keepers on a simulated clock."""
 
     def __init__(self, count, monkeypatch, loop):
         self.now = 1000.0
         monkeypatch.setattr(loop, "time", lambda: self.now)
-        self.links = [_Links() for _ in range(count)]
+        self.links = [_FakeLinks() for _ in range(count)]
         self.keepers = [
             QuotaKeeper(f"inc{n}", f"a{n}", link, BOUNDS)
             for n, link in enumerate(self.links)
         ]
-        self.view(range(count), 0)
+        self.set_view(range(count), 0)
 
     def restart(self):
-        """Make all keepers anew, as after a loss of power."""
+        """Replace all keepers with new ones, as after a power failure."""
         self.keepers = [
             QuotaKeeper(f"new{n}", f"a{n}", link, BOUNDS)
             for n, link in enumerate(self.links)
         ]
 
-    def view(self, alive, silent):
+    def set_view(self, alive, silent):
         members = {f"i{n}": _member(n) for n in alive}
-        self.changed = ViewChanged(View(members, silent))
+        self.view_changed = ViewChanged(View(members, silent))
 
     async def start(self):
         for keeper in self.keepers:
-            await keeper.handle(self.changed)
+            await keeper.handle(self.view_changed)
 
     async def tell(self, cut=()):
         for n, (keeper, link) in enumerate(zip(self.keepers, self.links, strict=True)):
@@ -78,8 +78,8 @@
 
 
 class TestWindow:
-    def test_what_is_older_than_the_span_does_not_count(self):
-        window = Window(8.0)
+    def test_amounts_expire_after_the_span(self):
+        window = SlidingWindow(8.0)
         window.add(5, 0.0)
         window.add(7, 4.0)
         assert window.total(7.9) == 12
@@ -87,77 +87,77 @@
 
 
 class TestQuotaKeeper:
-    async def test_all_instances_together_stay_within(self, fleet):
-        history = []
+    async def test_all_instances_together_stay_within_the_limit(self, fleet):
+        used_at = []
         for _step in range(100):
             for n in range(3):
-                while ticket := fleet.keepers[n].admit(RULE, 10):
-                    ticket.use()
-                    history.append((fleet.now, 10))
-                    if len(history) % 4 == 0:
+                while reservation := fleet.keepers[n].reserve(RULE, 10):
+                    reservation.commit()
+                    used_at.append((fleet.now, 10))
+                    if len(used_at) % 4 == 0:
                         break
             fleet.now += 0.2
             await fleet.tell()
-        for at, _ in history:
-            used = sum(t for when, t in history if at <= when < at + 8.0)
-            assert used <= MOST
-        assert sum(t for _, t in history) >= 100 * 19
+        for at, _ in used_at:
+            used = sum(t for when, t in used_at if at <= when < at + 8.0)
+            assert used <= MAX_WINDOW_TOKENS
+        assert sum(t for _, t in used_at) >= 100 * 19
 
     async def test_below_the_quota_nothing_is_refused(self, fleet):
         for _step in range(200):
-            fleet.keepers[_step % 3].admit(RULE, 15).use()
+            fleet.keepers[_step % 3].reserve(RULE, 15).commit()
             fleet.now += 0.2
             await fleet.tell()
 
-    async def test_parts_of_a_cut_stay_within_together(self, fleet):
-        fleet.view([0], 2)
-        await fleet.keepers[0].handle(fleet.changed)
-        fleet.view([1, 2], 1)
+    async def test_sides_of_a_partition_together_stay_within_the_limit(self, fleet):
+        fleet.set_view([0], 2)
+        await fleet.keepers[0].handle(fleet.view_changed)
+        fleet.set_view([1, 2], 1)
         for n in (1, 2):
-            await fleet.keepers[n].handle(fleet.changed)
+            await fleet.keepers[n].handle(fleet.view_changed)
         used = 0
         for _step in range(40):
             for n in range(3):
-                while ticket := fleet.keepers[n].admit(RULE, 10):
-                    ticket.use()
+                while reservation := fleet.keepers[n].reserve(RULE, 10):
+                    reservation.commit()
                     used += 10
             await fleet.tell(cut=(0,))
             fleet.now += 0.2
-        assert used <= MOST
+        assert used <= MAX_WINDOW_TOKENS
 
-    async def test_all_restarted_after_the_quota_was_used(self, fleet):
-        async def use(seconds):
+    async def test_full_restart_after_the_quota_was_used(self, fleet):
+        async def use_quota(seconds):
             used = 0
             for _step in range(round(seconds * 5)):
                 for keeper in fleet.keepers:
                     for _ in range(5):
-                        if ticket := keeper.admit(RULE, 10):
-                            ticket.use()
+                        if reservation := keeper.reserve(RULE, 10):
+                            reservation.commit()
                             used += 10
                 await fleet.tell()
                 fleet.now += 0.2
             return used
 
-        before = await use(8.0)
+        before = await use_quota(8.0)
         fleet.restart()
         await fleet.start()
         fleet.now += 1.0
-        after = await use(1.0)
+        after = await use_quota(1.0)
         still_counts = before * (1 - 2.0 / 8.0)
-        assert still_counts + after <= MOST
+        assert still_counts + after <= MAX_WINDOW_TOKENS
 
-    async def test_what_was_given_back_may_be_used_again(self, fleet):
+    async def test_released_tokens_may_be_used_again(self, fleet):
         keeper = fleet.keepers[0]
-        tickets = []
-        while ticket := keeper.admit(RULE, 10):
-            tickets.append(ticket)
-        tickets[0].release()
-        tickets[0].use()
-        assert keeper.admit(RULE, 10)
-        assert not keeper.admit(RULE, 10)
-
-    async def test_what_waits_for_a_target_takes_nothing_from_others(self, fleet):
-        """In a burst most of what waits is refused for load, and never used."""
+        reservations = []
+        while reservation := keeper.reserve(RULE, 10):
+            reservations.append(reservation)
+        reservations[0].release()
+        reservations[0].commit()
+        assert keeper.reserve(RULE, 10)
+        assert not keeper.reserve(RULE, 10)
+
+    async def test_waiting_requests_reserve_no_tokens(self, fleet):
+        """Most waiting requests of a burst are refused for load and use no tokens."""
         keeper = fleet.keepers[0]
         waiting = [QuotaClaim(keeper, RULE, 10, f"r{n}") for n in range(500)]
         assert all(claim.fits() for claim in waiting)
@@ -167,21 +167,21 @@
         taken[0].release()
         assert QuotaClaim(keeper, RULE, 10, "late").take()
 
-    async def test_no_rate_is_no_limit(self, fleet):
+    async def test_rate_of_zero_means_no_limit(self, fleet):
         rule = CustomerRule("free", frozenset(), None, Quota(0.0, 0.0, 10))
-        assert all(fleet.keepers[0].admit(rule, 10**6) for _ in range(50))
+        assert all(fleet.keepers[0].reserve(rule, 10**6) for _ in range(50))
 
-    async def test_an_instance_that_starts_hears_what_was_used(self, fleet):
+    async def test_new_instance_receives_earlier_usage(self, fleet):
         for _tick in range(6):
-            while ticket := fleet.keepers[0].admit(RULE, 10):
-                ticket.use()
+            while reservation := fleet.keepers[0].reserve(RULE, 10):
+                reservation.commit()
             await fleet.tell()
         fleet.keepers[1] = QuotaKeeper("new", "a1", fleet.links[1], BOUNDS)
-        await fleet.keepers[1].handle(fleet.changed)
+        await fleet.keepers[1].handle(fleet.view_changed)
         for _tick in range(10):
             fleet.now += 0.2
             await fleet.tell()
-        assert not fleet.keepers[1].admit(RULE, 200)
+        assert not fleet.keepers[1].reserve(RULE, 200)
 
 
 class TestRelays:
@@ -210,64 +210,67 @@
             fleet.now += 0.2
             await fleet.tell()
 
-    async def test_each_hears_what_all_others_used_once(self, fleet):
+    async def test_each_instance_counts_all_usage_once(self, fleet):
         for n, keeper in enumerate(fleet.keepers):
-            keeper.admit(RULE, 10 + n).use()
+            keeper.reserve(RULE, 10 + n).commit()
         await self._settle(fleet)
         fleet.now += 1.1
         assert {k.used("c", fleet.now) for k in fleet.keepers} == {75}
 
-    async def test_it_is_forgotten_after_the_window(self, fleet):
+    async def test_usage_expires_after_the_window(self, fleet):
         for keeper in fleet.keepers:
-            keeper.admit(RULE, 10).use()
+            keeper.reserve(RULE, 10).commit()
         await self._settle(fleet)
         fleet.now += 8.1
         assert {k.used("c", fleet.now) for k in fleet.keepers} == {0}
 
-    async def test_all_instances_together_stay_within(self, fleet):
-        history = []
+    async def test_all_instances_together_stay_within_the_limit(self, fleet):
+        used_at = []
         for _step in range(100):
             for keeper in fleet.keepers:
-                if ticket := keeper.admit(RULE, 10):
-                    ticket.use()
-                    history.append((fleet.now, 10))
+                if reservation := keeper.reserve(RULE, 10):
+                    reservation.commit()
+                    used_at.append((fleet.now, 10))
             fleet.now += 0.2
             await fleet.tell()
-        for at, _ in history:
-            used = sum(t for when, t in history if at <= when < at + 8.0)
-            assert used <= MOST
-        assert sum(t for _, t in history) >= 100 * 19
+        for at, _ in used_at:
+            used = sum(t for when, t in used_at if at <= when < at + 8.0)
+            assert used <= MAX_WINDOW_TOKENS
+        assert sum(t for _, t in used_at) >= 100 * 19
 
     @pytest.mark.parametrize("before", range(0, 500, 50))
     @pytest.mark.parametrize("each", [2, 4, 6])
-    async def test_nor_do_they_at_the_onset_of_a_burst(self, fleet, before, each):
-        history = []
+    async def test_burst_stays_within_the_limit(self, fleet, before, each):
+        used_at = []
         if before:
-            fleet.keepers[3].admit(RULE, before).use()
-            history.append((fleet.now, before))
+            fleet.keepers[3].reserve(RULE, before).commit()
+            used_at.append((fleet.now, before))
         await self._settle(fleet)
         fleet.now += 1.1
         for _step in range(40):
             for keeper in fleet.keepers:
                 for _ in range(each):
-                    if ticket := keeper.admit(RULE, 10):
-                        ticket.use()
-                        history.append((fleet.now, 10))
+                    if reservation := keeper.reserve(RULE, 10):
+                        reservation.commit()
+                        used_at.append((fleet.now, 10))
             fleet.now += 0.2
             await fleet.tell()
-        for at, _ in history:
-            assert sum(t for when, t in history if at <= when < at + 8.0) <= MOST
+        for at, _ in used_at:
+            assert (
+                sum(t for when, t in used_at if at <= when < at + 8.0)
+                <= MAX_WINDOW_TOKENS
+            )
 
-    async def test_a_new_parent_tells_the_window_anew(self, fleet):
+    async def test_new_relay_sends_the_whole_window(self, fleet):
         for n, keeper in enumerate(fleet.keepers):
-            keeper.admit(RULE, 10 + n).use()
+            keeper.reserve(RULE, 10 + n).commit()
         await self._settle(fleet)
-        moved = fleet.keepers[2]
+        moved_follower = fleet.keepers[2]
         relays = {f"i{n}": _member(n) for n in (0, 1)}
         view = View({**relays, "i2": _member(2)}, parent="a1", others=3)
-        await moved.handle(ViewChanged(view))
+        await moved_follower.handle(ViewChanged(view))
         followers = {f"i{m}": _member(m) for m in (2, 3, 5)}
         await fleet.keepers[1].handle(ViewChanged(View(relays, followers=followers)))
         await self._settle(fleet)
         fleet.now += 1.1
-        assert moved.used("c", fleet.now) >= 75
+        assert moved_follower.used("c", fleet.now) >= 75
--- a/tests/test_windowed_retries.py
+++ b/tests/test_windowed_retries.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.retries: repeats of all instances, over restarts too."""
+"""The retry budget of all instances together, also over restarts."""
 
 import pytest
 
@@ -10,60 +10,60 @@
 
 
 class Fleet:
-    """Budgets of instances that make all repeats they may, on a clock of its own."""
+    """Retry budgets of instances that use them up, on a simulated clock."""
 
     def __init__(self, requests_per_s):
-        self.requests_a_step = requests_per_s // 10
+        self.requests_per_step = requests_per_s // 10
         self.now = 100.0
         self.budgets = {}
         self.requests = []
-        self.repeats = []
+        self.retries = []
         for number in range(INSTANCES):
             self.start(number)
         self.now += 30.0
 
     def start(self, number):
         budget = WindowedRetryBudget(BOUNDS, self.now)
-        # An instance that has just started has met nobody and knows only a list.
+        # A new instance takes the number of instances from the list.
         budget.instances = INSTANCES
         self.budgets[number] = budget
 
     def play(self, seconds, failing=True):
         for _ in range(round(seconds * 10)):
-            for number in range(self.requests_a_step):
+            for number in range(self.requests_per_step):
                 budget = list(self.budgets.values())[number % len(self.budgets)]
                 budget.first_try("p", self.now)
                 self.requests.append(self.now)
                 while failing and budget.take("p", self.now):
-                    self.repeats.append(self.now)
+                    self.retries.append(self.now)
             self.now += 0.1
 
     def excess(self):
-        """Return by how much repeats of a whole window exceed what all may make."""
+        """Return by how many retries the worst whole window exceeds the limit."""
         window = BOUNDS.retry_window
 
-        def count(moments, start):
-            return sum(start <= at < start + window for at in moments)
+        def count(times, start):
+            return sum(start <= at < start + window for at in times)
 
         return max(
-            count(self.repeats, start)
+            count(self.retries, start)
             - BOUNDS.retry_share * count(self.requests, start)
             - BOUNDS.retry_reserve
-            for start in self.repeats
+            for start in self.retries
             if start + window <= self.now
         )
 
 
 @pytest.mark.parametrize("requests_per_s", [10, 40])
 class TestAllInstancesTogether:
-    def test_stay_within(self, requests_per_s):
+    def test_stay_within_the_limit(self, requests_per_s):
         fleet = Fleet(requests_per_s)
         fleet.play(30.0)
         assert fleet.excess() <= 0
-        assert len(fleet.repeats) > 0.7 * BOUNDS.retry_share * len(fleet.requests)
+        assert len(fleet.retries) > 0.7 * BOUNDS.retry_share * len(fleet.requests)
 
-    def test_do_so_over_a_restart_of_all(self, requests_per_s):
-        """The repeats before it count with those after it, and nobody knows them."""
+    def test_full_restart(self, requests_per_s):
+        """Retries before the restart count but are not known after it."""
         fleet = Fleet(requests_per_s)
         fleet.play(12.0, failing=False)
         fleet.play(1.0)
@@ -73,7 +73,7 @@
         assert fleet.excess() <= 0
 
     @pytest.mark.parametrize("pause_s", [1.0, 2.0])
-    def test_and_while_one_after_the_other_restarts(self, requests_per_s, pause_s):
+    def test_rolling_restart(self, requests_per_s, pause_s):
         fleet = Fleet(requests_per_s)
         fleet.play(12.0, failing=False)
         fleet.play(1.0)
