--- a/hibiscusstep/routing/messages.py
+++ b/hibiscusstep/routing/messages.py
@@ -68,7 +68,7 @@
     Parameters
     ----------
     ask : str
-        Id of this application for a grant; each new one for a request has a new id.
+        Id of this grant request; each new one for the same request has a new id.
     request, instance : str
         Id of the request, and name of the instance that received it.
     customer, tier : str
@@ -127,14 +127,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """A request applies for a target."""
+    """A request asks for a target."""
 
     work: Work
 
 
 @dataclass(frozen=True, slots=True)
 class Withdraw:
-    """A request withdraws its application or does not use its grant."""
+    """A request no longer needs a target or does not use its grant."""
 
     ask: str
 
--- a/tests/quota_region.py
+++ b/tests/quota_region.py
@@ -115,7 +115,7 @@
         self.asked = 0
         self.instances = {}
         # Instances that are partitioned from the others.
-        self.cut = set()
+        self.isolated = set()
         self.count = count
         self._random = random.Random(seed)
         self._serial = itertools.count()
@@ -141,10 +141,10 @@
 
     def start(self, number):
         links = _FakeLinks()
-        found = []
-        worker = KeptUseWorker(self.store, self.WINDOW_S, found.append)
-        worker.told, worker.found = [], found
-        worker.tell = worker.told.append
+        results = []
+        worker = KeptUseWorker(self.store, self.WINDOW_S, results.append)
+        worker.calls, worker.results = [], results
+        worker.tell = worker.calls.append
         incarnation = f"inc{number}.{next(self._serial)}"
         keeper = QuotaKeeper(
             incarnation,
@@ -180,11 +180,11 @@
             lost = {n for n in instance.seen - seen if not self._same_side(n, number)}
             instance.silent = (instance.silent | lost) - seen
             instance.seen = seen
-            told = seen, len(instance.silent), self._listed(instance)
-            if told == instance.told:
+            view_values = seen, len(instance.silent), self._listed(instance)
+            if view_values == instance.told:
                 continue
-            instance.told = told
-            view = self.view(number, *told)
+            instance.told = view_values
+            view = self.view(number, *view_values)
             await instance.keeper.handle(ViewChanged(view))
             await instance.keeper.handle(CustomersChanged((self.rule,)))
 
@@ -201,7 +201,7 @@
         )
 
     def _same_side(self, one, other):
-        return (one in self.cut) == (other in self.cut)
+        return (one in self.isolated) == (other in self.isolated)
 
     def _listed(self, instance):
         """Return the listed instance count, which is used only after a start."""
@@ -239,10 +239,10 @@
     async def _run_store_calls(self, instance):
         """Run the store calls of an instance and deliver the results."""
         worker = instance.worker
-        while worker.told:
-            await worker.handle(worker.told.pop(0))
-        while worker.found:
-            await instance.keeper.handle(worker.found.pop(0))
+        while worker.calls:
+            await worker.handle(worker.calls.pop(0))
+        while worker.results:
+            await instance.keeper.handle(worker.results.pop(0))
 
     async def _deliver(self):
         for number, instance in self.instances.items():
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -57,12 +57,12 @@
         for keeper in self.keepers:
             await keeper.handle(self.view_changed)
 
-    async def tell(self, cut=()):
+    async def exchange(self, isolated=()):
         for n, (keeper, link) in enumerate(zip(self.keepers, self.links, strict=True)):
             await keeper.handle(Tick())
             for send in link.sent:
                 to = int(send.address[1:])
-                if (n in cut) == (to in cut):
+                if (n in isolated) == (to in isolated):
                     await self.keepers[to].handle(Received(f"a{n}", send.message))
             link.sent.clear()
 
@@ -97,7 +97,7 @@
                     if len(used_at) % 4 == 0:
                         break
             fleet.now += 0.2
-            await fleet.tell()
+            await fleet.exchange()
         for at, _ in used_at:
             used = sum(t for when, t in used_at if at <= when < at + 8.0)
             assert used <= MAX_WINDOW_TOKENS
@@ -107,7 +107,7 @@
         for _step in range(200):
             fleet.keepers[_step % 3].reserve(RULE, 15).commit()
             fleet.now += 0.2
-            await fleet.tell()
+            await fleet.exchange()
 
     async def test_sides_of_a_partition_together_stay_within_the_limit(self, fleet):
         fleet.set_view([0], 2)
@@ -121,7 +121,7 @@
                 while reservation := fleet.keepers[n].reserve(RULE, 10):
                     reservation.commit()
                     used += 10
-            await fleet.tell(cut=(0,))
+            await fleet.exchange(isolated=(0,))
             fleet.now += 0.2
         assert used <= MAX_WINDOW_TOKENS
 
@@ -134,7 +134,7 @@
                         if reservation := keeper.reserve(RULE, 10):
                             reservation.commit()
                             used += 10
-                await fleet.tell()
+                await fleet.exchange()
                 fleet.now += 0.2
             return used
 
@@ -175,12 +175,12 @@
         for _tick in range(6):
             while reservation := fleet.keepers[0].reserve(RULE, 10):
                 reservation.commit()
-            await fleet.tell()
+            await fleet.exchange()
         fleet.keepers[1] = QuotaKeeper("new", "a1", fleet.links[1], BOUNDS)
         await fleet.keepers[1].handle(fleet.view_changed)
         for _tick in range(10):
             fleet.now += 0.2
-            await fleet.tell()
+            await fleet.exchange()
         assert not fleet.keepers[1].reserve(RULE, 200)
 
 
@@ -208,7 +208,7 @@
     async def _settle(self, fleet):
         for _ in range(4):
             fleet.now += 0.2
-            await fleet.tell()
+            await fleet.exchange()
 
     async def test_each_instance_counts_all_usage_once(self, fleet):
         for n, keeper in enumerate(fleet.keepers):
@@ -232,7 +232,7 @@
                     reservation.commit()
                     used_at.append((fleet.now, 10))
             fleet.now += 0.2
-            await fleet.tell()
+            await fleet.exchange()
         for at, _ in used_at:
             used = sum(t for when, t in used_at if at <= when < at + 8.0)
             assert used <= MAX_WINDOW_TOKENS
@@ -254,7 +254,7 @@
                         reservation.commit()
                         used_at.append((fleet.now, 10))
             fleet.now += 0.2
-            await fleet.tell()
+            await fleet.exchange()
         for at, _ in used_at:
             assert (
                 sum(t for when, t in used_at if at <= when < at + 8.0)
--- a/tests/test_quota_restarts.py
+++ b/tests/test_quota_restarts.py
@@ -68,9 +68,9 @@
         for seed in SEEDS:
             region = QuotaRegion(6, monkeypatch, seed=seed, kept=True)
             await region.play(20.0, demand=NORMAL)
-            region.cut = {0, 1}
+            region.isolated = {0, 1}
             await region.play(14.0, demand=OVERLOAD)
-            region.cut = set()
+            region.isolated = set()
             await region.play(9.0, demand=OVERLOAD)
             assert region.max_used <= region.limit, seed
 
@@ -80,7 +80,7 @@
             for started in ((0,), (0, 1), (2,), (2, 3, 4, 5)):
                 region = QuotaRegion(6, monkeypatch, seed=seed, kept=True)
                 await region.play(20.0, demand=NORMAL)
-                region.cut = {0, 1}
+                region.isolated = {0, 1}
                 await region.play(2.0, demand=OVERLOAD)
                 region.kill(*started)
                 await region.play(1.0, demand=OVERLOAD)
