--- a/hibiscusstep/routing/base.py
+++ b/hibiscusstep/routing/base.py
@@ -29,9 +29,9 @@
 class PoolDispatcher(ABC):
     """A state machine that assigns the requests of one pool to its targets.
 
-    It does no I/O: `handle` takes a message and a time and returns decisions. It makes
-    no decisions before `Recovered`, so that a new dispatcher first receives the
-    requests that already run.
+    It does no I/O: `handle` takes a message and a time and returns decisions. Before
+    `Recovered` it neither grants requests nor refuses them for load, so that a new
+    dispatcher first receives the requests that already run.
 
     Parameters
     ----------
