--- a/hibiscusstep/forwarding/crashes.py
+++ b/hibiscusstep/forwarding/crashes.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.crashes: tells a target's crash from a lost connection."""
+"""hibiscusstep.forwarding.crashes: detects crashes of targets."""
 
 import asyncio
 import logging
@@ -9,27 +9,27 @@
 from hibiscusstep.forwarding.model import DiscoveredTarget
 from hibiscusstep.log import decision
 
-__all__ = ["BrokenRun", "CrashDetector"]
+__all__ = ["InterruptedAttempt", "CrashDetector"]
 
 _LOG = logging.getLogger(__name__)
-# What broke at a target belongs to the crash that was found there, for so long after.
-REMEMBER_CRASH_S = 10.0
+# Connections that break within this time of the check belong to the same crash.
+CRASH_MEMORY_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
-class BrokenRun:
-    """A request whose connection ended before its answer did.
+class InterruptedAttempt:
+    """An attempt whose connection ended before its answer was complete.
 
     Parameters
     ----------
     request : str
-        The attempt's id, for the log.
+        ID of the attempt, for the log.
     fingerprint : int
-        What all attempts at the request share.
+        Fingerprint that all attempts of the request share.
     began : float
-        When it was sent there, on the loop's clock.
+        When the request was sent to the target, on the event loop's clock.
     early : bool
-        Whether no event of its answer had come.
+        Whether the connection ended before the first event of the answer.
     """
 
     request: str
@@ -39,82 +39,88 @@
 
 
 @dataclass(slots=True)
-class _Case:
-    """A target on which something broke: what, and whether it is known to be dead."""
+class _TargetCheck:
+    """A target with interrupted attempts, and whether it is known to have crashed."""
 
     found_at: float = 0.0
     crashed: bool = False
-    broken: list[BrokenRun] = field(default_factory=list)
+    broken: list[InterruptedAttempt] = field(default_factory=list)
 
 
 class CrashDetector:
-    """Connects once more where a connection ended: a dead process refuses.
+    """Detects a target's crash by a refused connection.
 
-    A reset, a time-out of the network and a cut end connections as well; then a new
-    connection is made, or none is refused. One that was made is kept for the next
-    request, so that asking costs nothing where the target lives.
+    After a connection ends early, a new one is opened: the host of a dead process
+    refuses it. After a reset, a network time-out or a partition the new connection
+    succeeds or times out instead. A successful one is reused for the next request, so
+    the check adds no connection while the target is alive.
 
     Parameters
     ----------
     connections : ConnectionPool
-        Makes the connection.
-    on_crash : callable of str, list of BrokenRun
-        Gets the target's name and what broke there; again if more did.
+        Opens the connections.
+    on_crash : callable of str, list of InterruptedAttempt
+        Receives the target's name and its interrupted attempts; called again for later
+        ones.
     """
 
     def __init__(
         self,
         connections: ConnectionPool,
-        on_crash: Callable[[str, list[BrokenRun]], None],
+        on_crash: Callable[[str, list[InterruptedAttempt]], None],
     ) -> None:
         self._connections = connections
         self._on_crash = on_crash
-        self._cases: dict[str, _Case] = {}
+        self._checks: dict[str, _TargetCheck] = {}
         self._tasks: set[asyncio.Task] = set()
 
-    def broke(self, target: DiscoveredTarget, run: BrokenRun) -> None:
-        """Take note that a connection to a target ended under a request.
+    def record_interruption(
+        self, target: DiscoveredTarget, attempt: InterruptedAttempt
+    ) -> None:
+        """Record that a connection to a target ended before the answer was complete.
 
-        Where a target is known to leave, what is left there ends with it.
+        A target that is known to leave is ignored: it ends its remaining connections.
         """
         if target.leaving:
             return
-        case = self._cases.get(target.name)
-        if case and case.crashed:
-            self._on_crash(target.name, [run])
+        check = self._checks.get(target.name)
+        if check and check.crashed:
+            self._on_crash(target.name, [attempt])
             return
-        if case is None:
+        if check is None:
             now = asyncio.get_running_loop().time()
-            case = self._cases[target.name] = _Case(now)
-            task = asyncio.create_task(self._look_into(target, case))
+            check = self._checks[target.name] = _TargetCheck(now)
+            task = asyncio.create_task(self._check_target(target, check))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-        case.broken.append(run)
+        check.broken.append(attempt)
 
-    async def _look_into(self, target: DiscoveredTarget, case: _Case) -> None:
+    async def _check_target(
+        self, target: DiscoveredTarget, check: _TargetCheck
+    ) -> None:
         refused = await self._connections.is_refused(target.name, target.address)
         if not refused:
-            del self._cases[target.name]
+            del self._checks[target.name]
             return
-        case.crashed = True
+        check.crashed = True
         decision(
             "target-crashed",
             target=target.name,
             address=target.address,
-            requests=[run.request for run in case.broken],
+            requests=[attempt.request for attempt in check.broken],
         )
-        self._on_crash(target.name, case.broken)
-        case.broken = []
+        self._on_crash(target.name, check.broken)
+        check.broken = []
 
     def forget_old(self, now: float) -> None:
-        """Forget the crashes of targets that nothing can break on any more."""
-        self._cases = {
-            name: case
-            for name, case in self._cases.items()
-            if not case.crashed or now - case.found_at < REMEMBER_CRASH_S
+        """Forget crashes that are older than `CRASH_MEMORY_S`."""
+        self._checks = {
+            name: check
+            for name, check in self._checks.items()
+            if not check.crashed or now - check.found_at < CRASH_MEMORY_S
         }
 
     def close(self) -> None:
-        """End what is being looked into."""
+        """Cancel running checks."""
         for task in self._tasks:
             task.cancel()
--- a/hibiscusstep/forwarding/fingerprint.py
+++ b/hibiscusstep/forwarding/fingerprint.py
@@ -1,34 +1,35 @@
-"""hibiscusstep.forwarding.fingerprint: what makes two attempts the same request."""
+"""hibiscusstep.forwarding.fingerprint: identifies attempts of the same request."""
 
 import hashlib
 
 __all__ = ["fingerprint"]
 
-_BYTES = 8
+_DIGEST_BYTES = 8
 
 
 def fingerprint(method: str, host: str, target: str, customer: str, body: bytes) -> int:
-    """Return a number that all attempts at one request share.
+    """Return a hash that all attempts of one request share.
 
-    Ids, deadlines and the event behind which a stream goes on differ from attempt to
-    attempt and are left out. The hash withstands a caller who looks for a request that
-    another customer's would be mistaken for.
+    IDs, deadlines and the event after which a stream resumes differ between attempts
+    and are not hashed. The hash is collision-resistant, so that a caller cannot craft a
+    request with the same fingerprint as another customer's.
 
     Parameters
     ----------
     method, host, target : str
-        As in the request line and the ``Host`` field; the target with its query.
+        Values of the request line and the ``Host`` header; the target includes the
+        query.
     customer : str
-        Whose request it is, "" on a public route.
+        Name of the customer; "" on a public route.
     body : bytes
-        The whole body.
+        Complete body.
 
     Returns
     -------
     int
-        At least 1; fits a signed integer of 64 bits.
+        At least 1; fits a signed 64-bit integer.
     """
-    digest = hashlib.blake2b(digest_size=_BYTES)
+    digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for part in (method, host.lower(), target, customer):
         digest.update(part.encode("utf-8", "surrogateescape") + b"\0")
     digest.update(body)
--- a/hibiscusstep/forwarding/quarantine.py
+++ b/hibiscusstep/forwarding/quarantine.py
@@ -1,11 +1,11 @@
-"""hibiscusstep.forwarding.quarantine: keeps crashing requests away from targets."""
+"""hibiscusstep.forwarding.quarantine: quarantine of requests that crash targets."""
 
 import asyncio
 import time
 from collections.abc import Iterable
 
 from hibiscusstep.forwarding.connections import ConnectionPool
-from hibiscusstep.forwarding.crashes import BrokenRun, CrashDetector
+from hibiscusstep.forwarding.crashes import CrashDetector, InterruptedAttempt
 from hibiscusstep.forwarding.kept_suspects import from_document, to_document
 from hibiscusstep.forwarding.model import DiscoveredTarget
 from hibiscusstep.forwarding.suspects import (
@@ -24,29 +24,30 @@
 __all__ = ["Quarantine"]
 
 TICK_S = 1.0
-# A message that a broken connection lost is made up for after so many ticks.
-TELL_ALL_EVERY = 5
+# Interval at which recent states are sent again, in case a connection lost them.
+RESEND_INTERVAL_TICKS = 5
 _DUTY = "quarantine"
 
 
 class Quarantine(Worker):
-    """Knows which requests crash their targets, with all other instances.
+    """Quarantine of requests that crash targets, shared by all instances.
 
-    A request under which targets crashed one after the other is sent to no further
-    one, by any instance: each crash cuts off all that runs beside it. What is known is
-    told to all instances at once, to those that start, and through relays; what is
-    quarantined is kept in the store, for after a restart of all.
+    No instance sends a request to another target once several targets have crashed in
+    sequence while running it, because each crash interrupts every other request on that
+    target. Crash states are sent to all instances immediately, to instances that start,
+    and through relays. Quarantined requests are also written to the store, so that they
+    survive a restart of all instances.
 
     Parameters
     ----------
     address : str
         Own peer address.
     links : Worker
-        Sends to peers.
+        Sends messages to peers.
     connections : ConnectionPool
-        To targets.
+        Connections to targets.
     store : SuspectStore
-        Keeps what is quarantined.
+        Stores the quarantined requests.
     """
 
     def __init__(
@@ -59,48 +60,48 @@
         super().__init__("quarantine", tick_interval=TICK_S)
         self._address = address
         self._store = store
-        self._detector = CrashDetector(connections, self._take_crash)
+        self._detector = CrashDetector(connections, self._record_crash)
         self._table = SuspectTable()
         self._view = View(settled=False)
         self._neighbours = Neighbours(address, links)
         self._ticks = 0
-        self._read = False
-        self._written: frozenset[int] = frozenset()
-        self._keeping: asyncio.Task | None = None
+        self._is_read = False
+        self._stored_fingerprints: frozenset[int] = frozenset()
+        self._store_task: asyncio.Task | None = None
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is known of any request."""
+        """Whether no request is suspected or was cleared recently."""
         return not len(self._table)
 
     @property
     def suspected(self) -> int:
-        """Requests that some crash counts against."""
+        """Number of requests with at least one crash counted against them."""
         return len(self._table.suspected)
 
     @property
     def quarantined(self) -> int:
-        """Requests that are sent to no target."""
+        """Number of quarantined requests."""
         return len(self._table.quarantined)
 
     def is_suspected(self, fingerprint: int) -> bool:
-        """Whether some crash counts against a request."""
+        """Return whether any crash counts against a request."""
         return self._table.is_suspected(fingerprint)
 
-    def holds(self, fingerprint: int) -> bool:
-        """Whether a request is to be sent to no target."""
+    def is_quarantined(self, fingerprint: int) -> bool:
+        """Return whether a request must not be sent to any target."""
         return self._table.is_quarantined(fingerprint)
 
-    def may_be_repeated(self, fingerprint: int) -> bool:
-        """Whether an instance may send a request to another target by itself."""
-        return self._table.may_be_repeated(fingerprint)
+    def may_retry(self, fingerprint: int) -> bool:
+        """Return whether an instance may retry a request on another target."""
+        return self._table.may_retry(fingerprint)
 
     def expires_in(self, fingerprint: int) -> float:
         """Return the seconds until a request may be served again."""
         return self._table.expires_in(fingerprint, _now())
 
-    def listing(self) -> list[dict]:
-        """Return all that some crash counts against, for operators."""
+    def list_suspects(self) -> list[dict]:
+        """Return all requests with crashes counted against them, for operators."""
         now = _now()
         return [
             {
@@ -117,122 +118,130 @@
             for suspect in self._table.suspected
         ]
 
-    def broke(self, target: DiscoveredTarget, run: BrokenRun) -> None:
-        """Take note that a connection to a target ended under a request."""
-        self._detector.broke(target, run)
+    def record_interruption(
+        self, target: DiscoveredTarget, attempt: InterruptedAttempt
+    ) -> None:
+        """Record that a connection to a target ended before the answer was complete."""
+        self._detector.record_interruption(target, attempt)
 
-    def answered(self, fingerprint: int, why: str = "answered") -> bool:
-        """Clear a request that a target answered; whether anything counted."""
-        state = self._table.answered(fingerprint, _now())
+    def clear_request(self, fingerprint: int, why: str = "answered") -> bool:
+        """Clear a request and return whether any crash counted against it."""
+        state = self._table.clear_request(fingerprint, _now())
         if state is None:
             return False
         decision("request-cleared", fingerprint=f"{fingerprint:016x}", why=why)
-        self._tell([state], self._neighbours.addresses)
+        self._send([state], self._neighbours.addresses)
         return True
 
-    def _take_crash(self, target: str, runs: list[BrokenRun]) -> None:
+    def _record_crash(self, target: str, attempts: list[InterruptedAttempt]) -> None:
         now = _now()
         states = []
-        for run in runs:
-            weight = EARLY_WEIGHT if run.early else LATE_WEIGHT
-            was_held = self.holds(run.fingerprint)
-            state = self._table.crashed(run.fingerprint, target, weight, run.began, now)
+        for attempt in attempts:
+            weight = EARLY_WEIGHT if attempt.early else LATE_WEIGHT
+            was_quarantined = self.is_quarantined(attempt.fingerprint)
+            state = self._table.record_crash(
+                attempt.fingerprint, target, weight, attempt.began, now
+            )
             if state is None:
                 continue
             states.append(state)
-            held = self.holds(run.fingerprint)
+            is_quarantined_now = self.is_quarantined(attempt.fingerprint)
             decision(
-                "request-quarantined" if held and not was_held else "request-suspected",
-                request=run.request,
-                fingerprint=f"{run.fingerprint:016x}",
+                "request-quarantined"
+                if is_quarantined_now and not was_quarantined
+                else "request-suspected",
+                request=attempt.request,
+                fingerprint=f"{attempt.fingerprint:016x}",
                 target=target,
                 weight=weight,
                 crashes=dict(zip(state.targets, state.weights, strict=True)),
             )
-        self._tell(states, self._neighbours.addresses)
+        self._send(states, self._neighbours.addresses)
 
     async def handle(self, message) -> None:
-        """Take what a peer tells, a view, or a tick."""
+        """Handle a peer's crash states, a view change, a store restore or a tick."""
         match message:
             case Received(sender=sender, message=SuspectStates(states=states)):
-                self._take_states(states, sender)
+                self._merge_states(states, sender)
             case ViewChanged(view=view):
-                self._take_view(view)
+                self._apply_view(view)
             case StoreRestored():
-                self._written = frozenset()
+                self._stored_fingerprints = frozenset()
             case Tick():
-                self._take_tick()
+                self._on_tick()
 
-    def _take_states(self, states: list[SuspectState], sender: str) -> None:
-        """Take what a peer knows, and tell on what is new to those it can't reach."""
+    def _merge_states(self, states: list[SuspectState], sender: str) -> None:
+        """Merge peer states; send new ones to peers that the sender cannot reach."""
         now = _now()
-        told = dict.fromkeys(state.fingerprint for state in states)
-        held = {fingerprint for fingerprint in told if self.holds(fingerprint)}
-        changed = [state for state in states if self._table.take(state, now)]
-        for fingerprint in told:
-            if fingerprint not in held and self.holds(fingerprint):
+        received = dict.fromkeys(state.fingerprint for state in states)
+        previous = {
+            fingerprint for fingerprint in received if self.is_quarantined(fingerprint)
+        }
+        changed = [state for state in states if self._table.merge(state, now)]
+        for fingerprint in received:
+            if fingerprint not in previous and self.is_quarantined(fingerprint):
                 decision(
                     "request-quarantined",
                     fingerprint=f"{fingerprint:016x}",
                     crashes=self._table.weights(fingerprint),
                     told_by=sender,
                 )
-        self._tell(changed, self._neighbours.beyond(sender))
+        self._send(changed, self._neighbours.beyond(sender))
 
-    def _take_view(self, view: View) -> None:
-        """Tell new neighbours all that is known."""
+    def _apply_view(self, view: View) -> None:
+        """Apply a view and send all states to new neighbours."""
         self._view = view
         new = self._neighbours.take_view(view)
-        self._tell(self._table.states(_now()), new)
+        self._send(self._table.all_states(_now()), new)
 
-    def _tell(self, states: list[SuspectState], addresses: Iterable[str]) -> None:
+    def _send(self, states: list[SuspectState], addresses: Iterable[str]) -> None:
         if states:
             self._neighbours.tell(SuspectStates(states), addresses)
 
-    def _take_tick(self) -> None:
+    def _on_tick(self) -> None:
         now = _now()
         self._ticks += 1
         self._table.forget_old(now)
         self._detector.forget_old(now)
-        if self._ticks % TELL_ALL_EVERY == 0:
-            self._tell(self._table.recent(now), self._neighbours.addresses)
-        keeps = self._view.settled and self._view.has_duty(_DUTY, self._address)
-        if keeps and (self._keeping is None or self._keeping.done()):
-            # A store that does not answer must not hold up what peers tell.
-            self._keeping = asyncio.create_task(self._keep())
-
-    async def _keep(self) -> None:
-        """Read what was kept, once; write what is quarantined when that changes."""
-        if not self._read:
-            await self._read_kept()
-        held = frozenset(s.fingerprint for s in self._table.quarantined)
-        if not self._read or held == self._written:
+        if self._ticks % RESEND_INTERVAL_TICKS == 0:
+            self._send(self._table.recent_states(now), self._neighbours.addresses)
+        is_writer = self._view.settled and self._view.has_duty(_DUTY, self._address)
+        if is_writer and (self._store_task is None or self._store_task.done()):
+            # A task, so that a store that does not answer blocks no peer messages.
+            self._store_task = asyncio.create_task(self._sync_with_store())
+
+    async def _sync_with_store(self) -> None:
+        """Read the stored requests once; write them when they change."""
+        if not self._is_read:
+            await self._read_stored()
+        current = frozenset(s.fingerprint for s in self._table.quarantined)
+        if not self._is_read or current == self._stored_fingerprints:
             return
         states = [self._table.state(s, _now()) for s in self._table.quarantined]
         written = await self._store.write(to_document(states, time.time()))
         if written.is_err():
             decision("quarantine-not-kept", error=str(written.unwrap_err()))
             return
-        self._written = held
+        self._stored_fingerprints = current
 
-    async def _read_kept(self) -> None:
+    async def _read_stored(self) -> None:
         reply = await self._store.read()
         if reply.is_err():
             decision("quarantine-not-read", error=str(reply.unwrap_err()))
             return
-        self._read = True
+        self._is_read = True
         states = from_document(reply.unwrap(), time.time())
-        self._written = frozenset(state.fingerprint for state in states)
+        self._stored_fingerprints = frozenset(state.fingerprint for state in states)
         if states:
             decision("quarantine-read", requests=len(states))
-            self._take_states(states, "")
-            self._tell(states, self._neighbours.addresses)
+            self._merge_states(states, "")
+            self._send(states, self._neighbours.addresses)
 
     async def stop(self) -> None:
-        """End what is being looked into."""
+        """Cancel running crash checks and store calls."""
         self._detector.close()
-        if self._keeping:
-            self._keeping.cancel()
+        if self._store_task:
+            self._store_task.cancel()
 
 
 def _now() -> float:
--- a/hibiscusstep/forwarding/quarantine_routes.py
+++ b/hibiscusstep/forwarding/quarantine_routes.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.quarantine_routes: the quarantine as operators see it."""
+"""hibiscusstep.forwarding.quarantine_routes: operator routes of the quarantine."""
 
 from aiohttp import web
 
@@ -10,22 +10,24 @@
 
 
 def add_quarantine_routes(app: web.Application, quarantine: Quarantine) -> None:
-    """Let operators list requests that crashed targets, and clear one.
+    """Add routes to list requests that crashed targets and to clear one of them.
 
-    ``GET /quarantine`` lists them; ``DELETE /quarantine/FINGERPRINT`` clears one at all
-    instances, so that it is served again.
+    ``GET /quarantine`` lists the requests. ``DELETE /quarantine/FINGERPRINT`` clears
+    one at all instances, so that it is served again.
     """
 
     async def show(_request: web.Request) -> web.Response:
-        return web.json_response({"requests": quarantine.listing()})
+        return web.json_response({"requests": quarantine.list_suspects()})
 
     async def clear(request: web.Request) -> web.Response:
         try:
             fingerprint = int(request.match_info["fingerprint"], 16)
         except ValueError:
-            return web.Response(status=400, text="a hexadecimal number is wanted\n")
-        known = quarantine.answered(fingerprint, why="operator")
-        return web.Response(status=204 if known else 404)
+            return web.Response(
+                status=400, text="the fingerprint must be a hexadecimal number\n"
+            )
+        was_suspected = quarantine.clear_request(fingerprint, why="operator")
+        return web.Response(status=204 if was_suspected else 404)
 
     app.router.add_get(_PATH, show)
     app.router.add_delete(f"{_PATH}/{{fingerprint}}", clear)
--- a/hibiscusstep/forwarding/standing.py
+++ b/hibiscusstep/forwarding/standing.py
@@ -1,8 +1,8 @@
-"""hibiscusstep.forwarding.standing: whether targets crashed under a request."""
+"""hibiscusstep.forwarding.standing: quarantine status of one request."""
 
 from functools import cached_property
 
-from hibiscusstep.forwarding.crashes import BrokenRun
+from hibiscusstep.forwarding.crashes import InterruptedAttempt
 from hibiscusstep.forwarding.incoming import Incoming
 from hibiscusstep.forwarding.model import DiscoveredTarget
 from hibiscusstep.forwarding.quarantine import Quarantine
@@ -10,21 +10,21 @@
 __all__ = ["Standing"]
 
 _TITLE = "This request is quarantined"
-_DETAIL = "Targets crashed each time that they ran it, so it is sent to no other."
+_DETAIL = "Targets crashed while running it, so it is not sent to any other target."
 
 
 class Standing:
-    """One request, as the quarantine knows it.
+    """Quarantine status of one request.
 
-    Its fingerprint is a hash of the whole body, so it is made only where something is
-    known of any request, or a target broke off.
+    The fingerprint hashes the whole body, so it is computed only if the quarantine is
+    not empty or a connection to a target ended early.
 
     Parameters
     ----------
     incoming : Incoming
         The request.
     quarantine : Quarantine
-        Knows which requests crash their targets.
+        Quarantine of all instances.
     """
 
     def __init__(self, incoming: Incoming, quarantine: Quarantine) -> None:
@@ -32,51 +32,51 @@
         self._quarantine = quarantine
 
     @cached_property
-    def _number(self) -> int:
+    def _fingerprint(self) -> int:
         return self._incoming.fingerprint()
 
     @property
     def fingerprint(self) -> str:
-        """What all attempts at the request share, in hexadecimal."""
-        return f"{self._number:016x}"
+        """Fingerprint that all attempts of the request share, in hexadecimal."""
+        return f"{self._fingerprint:016x}"
 
     @property
     def is_quarantined(self) -> bool:
-        """Whether it is to be sent to no target."""
+        """Whether the request must not be sent to any target."""
         quarantine = self._quarantine
-        return not quarantine.is_empty and quarantine.holds(self._number)
+        return not quarantine.is_empty and quarantine.is_quarantined(self._fingerprint)
 
     @property
     def suspect(self) -> int:
-        """The fingerprint if targets crashed under the request, else 0."""
+        """Fingerprint if any crash counts against the request, else 0."""
         quarantine = self._quarantine
-        if quarantine.is_empty or not quarantine.is_suspected(self._number):
+        if quarantine.is_empty or not quarantine.is_suspected(self._fingerprint):
             return 0
-        return self._number
+        return self._fingerprint
 
     @property
     def may_be_repeated(self) -> bool:
-        """Whether it may be sent to another target after one broke off."""
+        """Whether the request may be retried on another target."""
         quarantine = self._quarantine
-        return quarantine.is_empty or quarantine.may_be_repeated(self._number)
+        return quarantine.is_empty or quarantine.may_retry(self._fingerprint)
 
     @property
     def expires_in(self) -> float:
-        """Seconds until it may be served again."""
-        return self._quarantine.expires_in(self._number)
+        """Seconds until the request may be served again."""
+        return self._quarantine.expires_in(self._fingerprint)
 
     @property
     def problem(self) -> dict[str, str]:
-        """What a caller is told of the quarantine."""
+        """Problem fields of the answer that refuses a quarantined request."""
         return {"title": _TITLE, "detail": _DETAIL, "fingerprint": self.fingerprint}
 
     def answered(self) -> None:
-        """Take note that a target gave the whole answer: it did not crash."""
+        """Clear the request: a target completed its answer without crashing."""
         if not self._quarantine.is_empty:
-            self._quarantine.answered(self._number)
+            self._quarantine.clear_request(self._fingerprint)
 
     def broke(self, target: DiscoveredTarget, began: float, early: bool) -> None:
-        """Have looked into whether a target crashed; see `BrokenRun`."""
+        """Have the quarantine check whether a target crashed."""
         request = self._incoming.head.request
-        run = BrokenRun(request, self._number, began, early)
-        self._quarantine.broke(target, run)
+        attempt = InterruptedAttempt(request, self._fingerprint, began, early)
+        self._quarantine.record_interruption(target, attempt)
--- a/hibiscusstep/forwarding/suspects.py
+++ b/hibiscusstep/forwarding/suspects.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.suspects: requests under which targets crashed."""
+"""hibiscusstep.forwarding.suspects: requests that were running when targets crashed."""
 
 import bisect
 from collections.abc import Iterable
@@ -6,43 +6,44 @@
 
 from hibiscusstep.peer import SuspectState
 
-__all__ = ["EARLY_WEIGHT", "KEEP_S", "LATE_WEIGHT", "Suspect", "SuspectTable"]
+__all__ = ["EARLY_WEIGHT", "CRASH_LIFETIME_S", "LATE_WEIGHT", "Suspect", "SuspectTable"]
 
-# A target that crashes before a request's first event crashed under it more likely
-# than under those which had been running for a while.
+# A target that crashes before a request's first event was more likely crashed by that
+# request than by those that had been running for a while.
 EARLY_WEIGHT = 1.0
 LATE_WEIGHT = 0.5
-# From this weight on a request is quarantined: one that stood beside a crash by chance
-# has been answered elsewhere before it stands beside a third.
+# A request is quarantined from this weight on. One that ran beside two crashes by
+# chance has usually been answered elsewhere before it runs beside a third.
 QUARANTINE_WEIGHT = 3.0
-# From this weight on an instance does not repeat a request by itself.
-REPEAT_WEIGHT = 2.0
-# What instances tell each other takes so long: a run that began so much before another
-# one's end still followed it.
-TRANSIT_S = 0.02
-# A crash counts for so long. One that is quarantined wrongly is served again after it;
-# one that is rightly crashes a few targets in that time.
-KEEP_S = 900.0
-# That a request was cleared is remembered for so long: an instance that did not hear of
-# it, behind a cut, must not bring the crashes back.
-KEEP_CLEARED_S = 120.0
+# Instances do not retry a request from this weight on.
+RETRY_LIMIT_WEIGHT = 2.0
+# Delay of messages between instances: a run that started up to this long before another
+# one's end still counts as following it.
+MESSAGE_DELAY_S = 0.02
+# How long a crash counts. A request that is quarantined wrongly is served again after
+# this time; one that is quarantined rightly can crash a few targets per period.
+CRASH_LIFETIME_S = 900.0
+# How long a cleared request is remembered, so that an instance that missed the clearing
+# in a network partition does not bring the crashes back.
+CLEARED_LIFETIME_S = 120.0
 MAX_SUSPECTS = 1024
-# What is told again now and then stays small however many targets crash.
+# These bound the states that are sent periodically, however many targets crash.
 RECENT_S = 15.0
 MAX_RECENT = 32
-MAX_CRASHES = 16
+MAX_CRASHES_PER_REQUEST = 16
 
 
 @dataclass(frozen=True, slots=True)
 class _Crash:
-    """A target's crash under a request.
+    """A target's crash while it ran a request.
 
     Parameters
     ----------
     weight : float
-        How much it counts.
+        How much the crash counts against the request.
     began, at : float
-        When the request was sent there, and the crash, on the loop's clock.
+        When the request was sent to the target and when the target crashed, on the
+        event loop's clock.
     """
 
     weight: float
@@ -52,18 +53,18 @@
 
 @dataclass(slots=True, eq=False)
 class Suspect:
-    """A request under which targets crashed.
+    """A request that was running when targets crashed.
 
     Parameters
     ----------
     fingerprint : int
-        What all attempts at it share.
+        Fingerprint that all attempts of the request share.
     crashes : dict of str to _Crash
-        By target; an incarnation crashes once.
+        Crashes by target; an incarnation of a target crashes once.
     cleared : dict of str to None
-        Targets whose crash does not count any more since it was answered, in order.
+        Targets whose crash no longer counts, in the order in which they were cleared.
     cleared_at : float
-        When it last was, on the loop's clock.
+        When the request was last cleared, on the event loop's clock.
     """
 
     fingerprint: int
@@ -73,161 +74,165 @@
 
     @property
     def weight(self) -> float:
-        """The most that crashes weigh whose runs followed one another.
+        """Largest total weight of crashes whose runs did not overlap.
 
-        Of runs beside each other one counts: what ends many targets at once, as a loss
-        of power, says nothing of a request that ran on several of them.
+        Of overlapping runs only one counts: an event that ends many targets at once,
+        such as a power loss, is no evidence against a request that ran on several.
         """
         crashes = sorted(self.crashes.values(), key=lambda crash: crash.at)
         ends = [crash.at for crash in crashes]
-        # The most that the first so many of them weigh.
-        most = [0.0]
+        # Element i: the largest total weight among the first i crashes.
+        best = [0.0]
         for crash in crashes:
             before = bisect.bisect_right(
-                ends, crash.began + TRANSIT_S, hi=len(most) - 1
+                ends, crash.began + MESSAGE_DELAY_S, hi=len(best) - 1
             )
-            most.append(max(most[-1], most[before] + crash.weight))
-        return most[-1]
+            best.append(max(best[-1], best[before] + crash.weight))
+        return best[-1]
 
     @property
-    def newest(self) -> float:
-        """When the last target crashed under it, on the loop's clock."""
+    def last_crash_at(self) -> float:
+        """When the latest crash was, on the event loop's clock; 0 without crashes."""
         return max((crash.at for crash in self.crashes.values()), default=0.0)
 
-    def add(self, target: str, crash: _Crash) -> bool:
-        """Count a crash; whether it was new or weighs more than it did."""
-        known = self.crashes.get(target)
-        if target in self.cleared or (known and known.weight >= crash.weight):
+    def add_crash(self, target: str, crash: _Crash) -> bool:
+        """Add a crash and return whether it is new or weighs more than before."""
+        previous = self.crashes.get(target)
+        if target in self.cleared or (previous and previous.weight >= crash.weight):
             return False
         self.crashes[target] = crash
-        while len(self.crashes) > MAX_CRASHES:
+        while len(self.crashes) > MAX_CRASHES_PER_REQUEST:
             del self.crashes[min(self.crashes, key=lambda t: self.crashes[t].at)]
         return True
 
     def clear(self, targets: Iterable[str], now: float) -> bool:
-        """Count the crashes of some targets no more; whether any was not cleared."""
+        """Clear the crashes of some targets and return whether any was new."""
         new = [target for target in targets if target not in self.cleared]
         if new:
             self.cleared_at = now
         for target in new:
             self.crashes.pop(target, None)
             self.cleared[target] = None
-        while len(self.cleared) > MAX_CRASHES:
+        while len(self.cleared) > MAX_CRASHES_PER_REQUEST:
             del self.cleared[next(iter(self.cleared))]
         return bool(new)
 
 
 class SuspectTable:
-    """What is known of requests under which targets crashed, here and elsewhere.
+    """Requests that were running when targets crashed, as seen by all instances.
 
-    What is known only grows: crashes by target, and targets of whose crash a request
-    is cleared. So it does not matter who tells it, how often and in which order, and
-    parts of a region that did not hear each other agree once they do. All instances
-    must know it: a caller comes again at any of them, and each that learnt it by itself
-    would cost three targets more.
+    Each state only grows: crashes by target, and targets whose crash is cleared. States
+    can therefore be merged from any sender, repeatedly and in any order, and the sides
+    of a network partition converge after it. All instances need the states: a caller
+    can retry at any instance, and each instance that had to observe the crashes itself
+    would cost three more targets.
 
-    An answer clears a request everywhere. Without that, requests that come often and
-    stood beside a crash now and then were refused in the end.
+    An answer clears a request at all instances. Without that, frequent requests that
+    occasionally ran beside a crash were eventually refused.
     """
 
     def __init__(self) -> None:
         self._suspects: dict[int, Suspect] = {}
 
     def __len__(self) -> int:
-        """Return how many requests are known, cleared ones too."""
+        """Return the number of known requests, including cleared ones."""
         return len(self._suspects)
 
     @property
     def quarantined(self) -> list[Suspect]:
-        """Those that are sent to no target."""
-        found = self._suspects.values()
-        return [s for s in found if s.weight >= QUARANTINE_WEIGHT]
+        """Quarantined requests, which are not sent to any target."""
+        suspects = self._suspects.values()
+        return [s for s in suspects if s.weight >= QUARANTINE_WEIGHT]
 
     @property
     def suspected(self) -> list[Suspect]:
-        """Those that some crash counts against."""
+        """Requests with at least one crash counted against them."""
         return [suspect for suspect in self._suspects.values() if suspect.crashes]
 
     def is_suspected(self, fingerprint: int) -> bool:
-        """Whether some crash counts against a request."""
+        """Return whether any crash counts against a request."""
         suspect = self._suspects.get(fingerprint)
         return suspect is not None and bool(suspect.crashes)
 
     def is_quarantined(self, fingerprint: int) -> bool:
-        """Whether a request is to be sent to no target."""
+        """Return whether a request must not be sent to any target."""
         return self._weight(fingerprint) >= QUARANTINE_WEIGHT
 
-    def may_be_repeated(self, fingerprint: int) -> bool:
-        """Whether an instance may send a request to another target by itself."""
-        return self._weight(fingerprint) < REPEAT_WEIGHT
+    def may_retry(self, fingerprint: int) -> bool:
+        """Return whether an instance may retry a request on another target."""
+        return self._weight(fingerprint) < RETRY_LIMIT_WEIGHT
 
     def _weight(self, fingerprint: int) -> float:
         suspect = self._suspects.get(fingerprint)
         return suspect.weight if suspect else 0.0
 
     def weights(self, fingerprint: int) -> dict[str, float]:
-        """Return how much each target's crash counts against a request."""
+        """Return the weight of each crash that counts against a request, by target."""
         suspect = self._suspects.get(fingerprint)
         crashes = suspect.crashes if suspect else {}
         return {target: crash.weight for target, crash in crashes.items()}
 
     def expires_in(self, fingerprint: int, now: float) -> float:
-        """Return the seconds until the crashes under a request count no more."""
+        """Return the seconds until no crash counts against a request any more."""
         suspect = self._suspects.get(fingerprint)
-        return max(0.0, suspect.newest + KEEP_S - now) if suspect else 0.0
+        return (
+            max(0.0, suspect.last_crash_at + CRASH_LIFETIME_S - now) if suspect else 0.0
+        )
 
-    def crashed(
+    def record_crash(
         self, fingerprint: int, target: str, weight: float, began: float, now: float
     ) -> SuspectState | None:
-        """Count a target's crash under a request that was sent there at `began`.
+        """Record a target's crash while it ran a request sent to it at `began`.
 
         Returns
         -------
         SuspectState or None
-            What the others are to be told; None if nothing is new.
+            The request's new state, to send to peers; None if it did not change.
         """
-        suspect = self._suspect(fingerprint)
-        changed = suspect.add(target, _Crash(weight, began, now))
+        suspect = self._get_or_create(fingerprint)
+        changed = suspect.add_crash(target, _Crash(weight, began, now))
         return self.state(suspect, now) if changed else None
 
-    def answered(self, fingerprint: int, now: float) -> SuspectState | None:
-        """Clear a request that a target answered; see `crashed`."""
+    def clear_request(self, fingerprint: int, now: float) -> SuspectState | None:
+        """Clear a request that a target answered; see `record_crash`."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None or not suspect.clear(list(suspect.crashes), now):
             return None
         return self.state(suspect, now)
 
-    def take(self, state: SuspectState, now: float) -> bool:
-        """Take what another instance knows of a request; whether it was new."""
-        suspect = self._suspect(state.fingerprint)
+    def merge(self, state: SuspectState, now: float) -> bool:
+        """Merge a peer's state of a request and return whether it added anything."""
+        suspect = self._get_or_create(state.fingerprint)
         changed = suspect.clear(state.cleared, now)
         rows = zip(state.targets, state.weights, state.spans, state.ages, strict=True)
         for target, weight, span, age in rows:
-            if 0 <= age < KEEP_S:
+            if 0 <= age < CRASH_LIFETIME_S:
                 at = now - age
-                changed |= suspect.add(target, _Crash(weight, at - span, at))
+                changed |= suspect.add_crash(target, _Crash(weight, at - span, at))
         if not suspect.crashes and not suspect.cleared:
             del self._suspects[state.fingerprint]
         return changed
 
-    def states(self, now: float) -> list[SuspectState]:
-        """Return all that is known, as others are told."""
+    def all_states(self, now: float) -> list[SuspectState]:
+        """Return the states of all known requests, as sent to peers."""
         return [self.state(suspect, now) for suspect in self._suspects.values()]
 
-    def recent(self, now: float) -> list[SuspectState]:
-        """Return what is quarantined, and the newest of what changed lately."""
-        held = self.quarantined
+    def recent_states(self, now: float) -> list[SuspectState]:
+        """Return the quarantined requests and the most recently changed others."""
+        quarantined_suspects = self.quarantined
         changed = [
             suspect
             for suspect in self._suspects.values()
-            if now - max(suspect.newest, suspect.cleared_at) < RECENT_S
-            and suspect not in held
+            if now - max(suspect.last_crash_at, suspect.cleared_at) < RECENT_S
+            and suspect not in quarantined_suspects
+        ]
+        newest = sorted(changed, key=lambda s: max(s.last_crash_at, s.cleared_at))
+        return [
+            self.state(s, now) for s in (*quarantined_suspects, *newest[-MAX_RECENT:])
         ]
-        newest = sorted(changed, key=lambda s: max(s.newest, s.cleared_at))
-        return [self.state(s, now) for s in (*held, *newest[-MAX_RECENT:])]
 
     def state(self, suspect: Suspect, now: float) -> SuspectState:
-        """Return what is known of a request, as others are told."""
+        """Return the state of a request, as sent to peers."""
         return SuspectState(
             suspect.fingerprint,
             list(suspect.crashes),
@@ -238,25 +243,25 @@
         )
 
     def forget_old(self, now: float) -> None:
-        """Drop crashes that count no more, and requests of which nothing is left."""
+        """Drop expired crashes and requests that have no state left."""
         for suspect in list(self._suspects.values()):
             suspect.crashes = {
                 target: crash
                 for target, crash in suspect.crashes.items()
-                if now - crash.at < KEEP_S
+                if now - crash.at < CRASH_LIFETIME_S
             }
-            if not suspect.crashes and now - suspect.cleared_at >= KEEP_CLEARED_S:
+            if not suspect.crashes and now - suspect.cleared_at >= CLEARED_LIFETIME_S:
                 del self._suspects[suspect.fingerprint]
 
-    def _suspect(self, fingerprint: int) -> Suspect:
+    def _get_or_create(self, fingerprint: int) -> Suspect:
         if fingerprint not in self._suspects:
             if len(self._suspects) >= MAX_SUSPECTS:
-                least = min(self._suspects.values(), key=_importance)
-                del self._suspects[least.fingerprint]
+                evicted = min(self._suspects.values(), key=_eviction_key)
+                del self._suspects[evicted.fingerprint]
             self._suspects[fingerprint] = Suspect(fingerprint)
         return self._suspects[fingerprint]
 
 
-def _importance(suspect: Suspect) -> tuple[int, float]:
-    """Order what may be forgotten first: little evidence, then old evidence."""
-    return len(suspect.crashes), suspect.newest
+def _eviction_key(suspect: Suspect) -> tuple[int, float]:
+    """Return the sort key for eviction: few crashes first, then old crashes."""
+    return len(suspect.crashes), suspect.last_crash_at
--- a/tests/crash_region.py
+++ b/tests/crash_region.py
@@ -1,4 +1,7 @@
-"""A region in virtual time whose targets crash, by requests or by themselves."""
+"""Simulation in virtual time of a region whose targets crash.
+
+Targets are crashed by requests or crash spontaneously.
+"""
 
 import heapq
 import itertools
@@ -9,20 +12,20 @@
 from hibiscusstep.forwarding.suspects import EARLY_WEIGHT, LATE_WEIGHT, SuspectTable
 
 INSTANCES, TARGETS, SLOTS = 8, 6, 7
-# Sound requests a second, seconds that one takes in the mean and to its first event.
-RATE, WORK_S, FIRST_S = 30.0, 0.8, 0.1
-# Of the sound ones these many come again and again, alike.
-HOT_SHARE, HOT_KINDS = 0.3, 5
-# Requests that crash targets, how often each comes a second, and seconds until it does.
-CRASHING, CRASHING_RATE, CRASH_AFTER_S = 2, 2.0, 0.06
-DOWN_S = 3.0
-# Seconds until a crash is known where it was seen, and from one instance to another.
-SEEN_S, TOLD_S = 0.003, 0.02
-# An instance that starts is told after so many seconds.
-START_S = 0.3
+# Harmless requests per second, their mean duration and the time to the first event.
+REQUEST_RATE, MEAN_DURATION_S, FIRST_EVENT_S = 30.0, 0.8, 0.1
+# Share of the harmless requests that repeat one of a few identical requests.
+REPEATED_SHARE, REPEATED_REQUESTS = 0.3, 5
+# Number of crashing requests, arrivals of each per second, and seconds until the crash.
+CRASHING_REQUESTS, CRASHING_RATE, CRASH_AFTER_S = 2, 2.0, 0.06
+RESTART_S = 3.0
+# Delays until an instance detects a crash, and of a message between instances.
+DETECTION_S, MESSAGE_DELAY_S = 0.003, 0.02
+# Delay after which a restarted instance receives the states.
+INITIAL_STATES_S = 0.3
 ATTEMPTS = 2
-CONTACT_S = 3.0
-DAY_S = 60.0
+SETTLE_S = 3.0
+DURATION_S = 60.0
 
 
 @dataclass
@@ -36,98 +39,108 @@
 
 
 class CrashRegion:
-    """Instances with a table each; targets that crash and start under new names.
+    """Simulates instances with a table each, and targets that restart under new names.
 
     Parameters
     ----------
     seed : int
-        Of all that is drawn.
+        Seed of the random numbers.
     kill_each : float
-        Seconds between losses of an instance; 0 for none.
+        Seconds between restarts of an instance; 0 for none.
     crash_each : float
-        Seconds between crashes of targets by themselves; 0 for none.
+        Seconds between spontaneous crashes of targets; 0 for none.
     at_once : int
-        Targets that crash by themselves at the same moment.
+        Targets that crash spontaneously at the same moment.
 
     Attributes
     ----------
     refused : Counter
-        Refused as quarantined, by request.
+        Arrivals refused by the quarantine, by request.
     late : Counter
-        Arrivals later than `CONTACT_S` after a request's third crash, from instances
-        that started longer ago than that.
+        Attempts that were sent more than `SETTLE_S` after the request's third crash, by
+        instances that had been running for longer than that.
     crashes : Counter
-        Targets that crashed, by the request that did it; 0 for by themselves.
+        Crashed targets by the request that crashed them; 0 for spontaneous crashes.
     """
 
     def __init__(self, seed, kill_each=0.0, crash_each=0.0, at_once=1):
         self._random = random.Random(seed)
         self._kill_each, self._crash_each = kill_each, crash_each
         self._at_once = at_once
-        self._events, self._order = [], itertools.count()
+        self._events, self._sequence = [], itertools.count()
         self._names = itertools.count()
         self._tables = [SuspectTable() for _ in range(INSTANCES)]
-        self._up = [f"t{next(self._names)}" for _ in range(TARGETS)]
-        self._running: dict[str, list[_Run]] = {name: [] for name in self._up}
-        self._sound = itertools.count(1000)
-        self._third: dict[int, float] = {}
-        self._started = [-CONTACT_S] * INSTANCES
+        self._running_targets = [f"t{next(self._names)}" for _ in range(TARGETS)]
+        self._running: dict[str, list[_Run]] = {
+            name: [] for name in self._running_targets
+        }
+        self._harmless = itertools.count(1000)
+        self._third_crash: dict[int, float] = {}
+        self._started = [-SETTLE_S] * INSTANCES
         self.asked = 0
         self.refused, self.late, self.crashes = Counter(), Counter(), Counter()
 
-    def _at(self, when, what, *args):
-        heapq.heappush(self._events, (when, next(self._order), what, args))
+    def _schedule(self, time, action, *args):
+        heapq.heappush(self._events, (time, next(self._sequence), action, args))
 
     def play(self):
-        self._at(0.0, self._sound_comes)
-        for number in range(1, CRASHING + 1):
-            self._at(3.0 + number, self._crashing_comes, number)
+        self._schedule(0.0, self._harmless_arrives)
+        for number in range(1, CRASHING_REQUESTS + 1):
+            self._schedule(3.0 + number, self._crashing_arrives, number)
         if self._kill_each:
-            self._at(self._kill_each, self._kill)
+            self._schedule(self._kill_each, self._restart_instance)
         if self._crash_each:
-            self._at(self._crash_each, self._crash_some)
+            self._schedule(self._crash_each, self._crash_spontaneously)
         while self._events:
-            now, _order, what, args = heapq.heappop(self._events)
-            if now > DAY_S:
+            now, _sequence, action, args = heapq.heappop(self._events)
+            if now > DURATION_S:
                 return self
-            what(now, *args)
+            action(now, *args)
         return self
 
-    def _sound_comes(self, now):
-        hot = self._random.random() < HOT_SHARE
-        request = 100 + self._random.randrange(HOT_KINDS) if hot else next(self._sound)
+    def _harmless_arrives(self, now):
+        repeated = self._random.random() < REPEATED_SHARE
+        request = (
+            100 + self._random.randrange(REPEATED_REQUESTS)
+            if repeated
+            else next(self._harmless)
+        )
         self.asked += 1
         self._send(now, self._random.randrange(INSTANCES), request, ATTEMPTS)
-        self._at(now + self._random.expovariate(RATE), self._sound_comes)
+        self._schedule(
+            now + self._random.expovariate(REQUEST_RATE), self._harmless_arrives
+        )
 
-    def _crashing_comes(self, now, request):
+    def _crashing_arrives(self, now, request):
         self._send(now, self._random.randrange(INSTANCES), request, ATTEMPTS)
         pause = self._random.expovariate(CRASHING_RATE)
-        self._at(now + pause, self._crashing_comes, request)
+        self._schedule(now + pause, self._crashing_arrives, request)
 
     def _send(self, now, instance, request, left):
         table = self._tables[instance]
         if table.is_quarantined(request):
             self.refused[request] += 1
             return
-        free = [t for t in self._up if len(self._running[t]) < SLOTS]
+        free = [t for t in self._running_targets if len(self._running[t]) < SLOTS]
         if table.is_suspected(request):
-            free = self._without_suspects(free, request)
+            free = self._exclude_suspects(free, request)
         if not free:
             return
         target = min(free, key=lambda name: len(self._running[name]))
-        run = _Run(instance, request, left, now, now + FIRST_S, target)
+        run = _Run(instance, request, left, now, now + FIRST_EVENT_S, target)
         self._running[target].append(run)
-        known_since = max(self._third.get(request, DAY_S), self._started[instance])
-        if now > known_since + CONTACT_S:
+        known_since = max(
+            self._third_crash.get(request, DURATION_S), self._started[instance]
+        )
+        if now > known_since + SETTLE_S:
             self.late[request] += 1
-        if request <= CRASHING:
-            self._at(now + CRASH_AFTER_S, self._crash, target, request)
+        if request <= CRASHING_REQUESTS:
+            self._schedule(now + CRASH_AFTER_S, self._crash, target, request)
         else:
-            end = now + FIRST_S + self._random.expovariate(1 / WORK_S)
-            self._at(end, self._answer, run)
+            end = now + FIRST_EVENT_S + self._random.expovariate(1 / MEAN_DURATION_S)
+            self._schedule(end, self._answer, run)
 
-    def _without_suspects(self, free, request):
+    def _exclude_suspects(self, free, request):
         suspects = {
             run.target: run.request
             for runs in self._running.values()
@@ -142,53 +155,55 @@
         if run not in self._running.get(run.target, ()):
             return
         self._running[run.target].remove(run)
-        state = self._tables[run.instance].answered(run.request, now)
-        self._spread(now, run.instance, state)
+        state = self._tables[run.instance].clear_request(run.request, now)
+        self._broadcast(now, run.instance, state)
 
-    def _crash_some(self, now):
-        for target in self._random.sample(self._up, min(self._at_once, len(self._up))):
+    def _crash_spontaneously(self, now):
+        for target in self._random.sample(
+            self._running_targets, min(self._at_once, len(self._running_targets))
+        ):
             self._crash(now, target, 0)
-        self._at(now + self._crash_each, self._crash_some)
+        self._schedule(now + self._crash_each, self._crash_spontaneously)
 
     def _crash(self, now, target, request):
-        if target not in self._up:
+        if target not in self._running_targets:
             return
-        self._up.remove(target)
+        self._running_targets.remove(target)
         self.crashes[request] += 1
         if self.crashes[request] == 3:
-            self._third[request] = now
+            self._third_crash[request] = now
         for run in self._running.pop(target):
-            self._at(now + SEEN_S, self._see, target, run, now)
+            self._schedule(now + DETECTION_S, self._detect, target, run, now)
             table, left = self._tables[run.instance], run.left - 1
-            if left and table.may_be_repeated(run.request):
-                self._at(now + 0.001, self._send, run.instance, run.request, left)
-        self._at(now + DOWN_S, self._start_target)
+            if left and table.may_retry(run.request):
+                self._schedule(now + 0.001, self._send, run.instance, run.request, left)
+        self._schedule(now + RESTART_S, self._start_target)
 
     def _start_target(self, _now):
         name = f"t{next(self._names)}"
-        self._up.append(name)
+        self._running_targets.append(name)
         self._running[name] = []
 
-    def _see(self, now, target, run, crashed_at):
+    def _detect(self, now, target, run, crashed_at):
         weight = EARLY_WEIGHT if crashed_at < run.first else LATE_WEIGHT
-        state = self._tables[run.instance].crashed(
+        state = self._tables[run.instance].record_crash(
             run.request, target, weight, run.began, now
         )
-        self._spread(now, run.instance, state)
+        self._broadcast(now, run.instance, state)
 
-    def _spread(self, now, instance, state):
+    def _broadcast(self, now, instance, state):
         for other in range(INSTANCES) if state else ():
             if other != instance:
-                self._at(now + TOLD_S, self._hear, other, state)
+                self._schedule(now + MESSAGE_DELAY_S, self._receive, other, state)
 
-    def _hear(self, now, instance, state):
-        self._tables[instance].take(state, now)
+    def _receive(self, now, instance, state):
+        self._tables[instance].merge(state, now)
 
-    def _kill(self, now):
+    def _restart_instance(self, now):
         lost = self._random.randrange(INSTANCES)
         self._tables[lost] = SuspectTable()
         self._started[lost] = now
-        told = self._tables[(lost + 1) % INSTANCES].states(now)
-        for state in told:
-            self._at(now + START_S, self._hear, lost, state)
-        self._at(now + self._kill_each, self._kill)
+        known = self._tables[(lost + 1) % INSTANCES].all_states(now)
+        for state in known:
+            self._schedule(now + INITIAL_STATES_S, self._receive, lost, state)
+        self._schedule(now + self._kill_each, self._restart_instance)
--- a/tests/test_crash_region.py
+++ b/tests/test_crash_region.py
@@ -1,18 +1,18 @@
-"""Crashing requests in a region without network: who is held back, and how soon."""
+"""Quarantine of crashing requests in a simulated region: precision and delay."""
 
 import pytest
 from crash_region import CrashRegion
 
 SEEDS = range(12)
-# What may still be sent when three targets have crashed under a request and all know.
-MOST_LATE = 3
+# Attempts that may still be sent after the third crash is known to all instances.
+MAX_LATE = 3
 
 
 class TestRegion:
-    """Two requests that crash targets come twice a second each, for a minute.
+    """Two crashing requests arrive twice per second each, for a minute.
 
-    Three in ten of the sound ones come again and again, alike; they stand beside many
-    crashes, and so do others, which come once.
+    Three in ten of the harmless requests repeat one of a few identical ones. Those run
+    beside many crashes, and so do requests that arrive only once.
     """
 
     @pytest.mark.parametrize(
@@ -27,9 +27,9 @@
         ],
         ids=str,
     )
-    def test_few_come_late_and_no_sound_one_is_refused(self, troubles):
+    def test_few_are_sent_late_and_no_harmless_one_is_refused(self, troubles):
         for seed in SEEDS:
             region = CrashRegion(seed, **troubles).play()
-            assert max(region.late.values(), default=0) <= MOST_LATE
+            assert max(region.late.values(), default=0) <= MAX_LATE
             assert not [request for request in region.refused if request >= 100]
             assert set(region.refused) == {1, 2}
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,17 +1,14 @@
-"""A request that crashes each target which runs it.
+"""Guards against a request that crashes every target it is sent to.
 
-Seen: in a region of eight instances a request under which three targets had crashed was
-sent to five more, another one to seven; what ran beside it there was cut off.
+In a region of eight instances, a request that had crashed three targets was sent to
+five more, and another one to seven. Every other request on those targets was
+interrupted. The caller retried every second or two, each time with a new request ID and
+at any instance, and each attempt was admitted and sent like a new request: an instance
+recorded the crash only for the target, and its knowledge of the request ended with the
+attempt. All attempts were their callers' first ones, at five instances; after each, the
+target refused connections and restarted under another ID.
 
-How it came about: its caller came again every second or two, each time with a new id
-and at any instance. Each attempt was admitted, granted a target and sent, as any other.
-
-Cause: what one instance learnt of a request stayed there and ended with the attempt. A
-crash was held against the target alone, so nothing knew the request again.
-
-Proof: all of its attempts were their callers' first, at five instances; after each the
-target refused connections and started again under another id. The test below shows the
-same without anything else that fails.
+The tests reproduce this without any other failure.
 """
 
 import asyncio
@@ -24,18 +21,18 @@
 
 CRASHING = b"a request that crashes its target"
 DOWN_S = 0.2
-# Three crashes show what the request does; three more may be on their way by then.
-MOST_CRASHES = 6
+# Three crashes quarantine the request; three more attempts may be in flight by then.
+MAX_CRASHES = 6
 ATTEMPTS = 12
 
 
 class CrashingSite(Site):
-    """A region whose targets crash under one body and start again a moment later."""
+    """A region whose targets crash on one request body and restart after `DOWN_S`."""
 
     def __init__(self, *args):
         super().__init__(*args)
         self.crashes = 0
-        self._keepers = []
+        self._restart_tasks = []
         self._names = (f"again{n}" for n in itertools.count())
 
     async def start_pool(self, targets=4, instances=2):
@@ -46,7 +43,9 @@
             while any(i.view.size < instances for i in self.instances):
                 await asyncio.sleep(0.01)
         for target in self.targets:
-            self._keepers.append(asyncio.create_task(self._keep_up(target)))
+            self._restart_tasks.append(
+                asyncio.create_task(self._restart_after_crashes(target))
+            )
 
     def run(self, _number, fields, body):
         if body != CRASHING:
@@ -54,7 +53,7 @@
         self.crashes += 1
         return ["crash"]
 
-    async def _keep_up(self, target):
+    async def _restart_after_crashes(self, target):
         while True:
             await target.crashed.wait()
             await asyncio.sleep(DOWN_S)
@@ -63,7 +62,7 @@
             self.store.put("servers", target.name, target.entry("pool-a"))
 
     async def has_target_up(self, instance):
-        """Wait until an instance knows a target that runs."""
+        """Wait until an instance knows a running target."""
         async with asyncio.timeout(BOUND_S):
             while True:
                 up = {t.name for t in self.targets if not t.crashed.is_set()}
@@ -72,9 +71,9 @@
                 await asyncio.sleep(0.01)
 
     async def stop(self):
-        for keeper in self._keepers:
-            keeper.cancel()
-        await asyncio.gather(*self._keepers, return_exceptions=True)
+        for task in self._restart_tasks:
+            task.cancel()
+        await asyncio.gather(*self._restart_tasks, return_exceptions=True)
         await super().stop()
 
 
@@ -86,8 +85,8 @@
 
 
 class TestCrashingRequest:
-    async def _come_again(self, site, instances, times=ATTEMPTS):
-        """Send it at each of the instances in turn; return the statuses."""
+    async def _send_repeatedly(self, site, instances, times=ATTEMPTS):
+        """Send the crashing request to the instances in turn; return the statuses."""
         statuses = []
         for instance in itertools.islice(itertools.cycle(instances), times):
             await site.has_target_up(instance)
@@ -95,22 +94,22 @@
             statuses.append((await call)[0])
         return statuses
 
-    async def test_reaches_few_targets_however_often_it_comes(self, site):
+    async def test_reaches_few_targets_despite_many_retries(self, site):
         await site.start_pool()
-        statuses = await self._come_again(site, [0, 1])
+        statuses = await self._send_repeatedly(site, [0, 1])
         assert set(statuses) <= {502, 503}
-        assert site.crashes <= MOST_CRASHES
+        assert site.crashes <= MAX_CRASHES
 
-    async def test_is_known_to_an_instance_that_starts_later(self, site):
+    async def test_is_known_to_a_new_instance(self, site):
         await site.start_pool()
-        await self._come_again(site, [0, 1])
+        await self._send_repeatedly(site, [0, 1])
         await site.add_instance()
-        await self._come_again(site, [2])
-        assert site.crashes <= MOST_CRASHES
+        await self._send_repeatedly(site, [2])
+        assert site.crashes <= MAX_CRASHES
 
     async def test_is_known_after_a_restart_of_all(self, site):
         await site.start_pool()
-        await self._come_again(site, [0, 1])
+        await self._send_repeatedly(site, [0, 1])
         async with asyncio.timeout(BOUND_S):
             while ("hibiscusstep-suspects", "requests") not in site.store.objects:
                 await asyncio.sleep(0.01)
@@ -120,12 +119,12 @@
         async with asyncio.timeout(BOUND_S):
             while not site.instances[2].quarantine.quarantined:
                 await asyncio.sleep(0.01)
-        await self._come_again(site, [2])
-        assert site.crashes <= MOST_CRASHES
+        await self._send_repeatedly(site, [2])
+        assert site.crashes <= MAX_CRASHES
 
-    async def test_its_caller_is_told_why_and_for_how_long(self, site):
+    async def test_its_refusal_gives_reason_and_retry_after(self, site):
         await site.start_pool(instances=1)
-        await self._come_again(site, [0], times=4)
+        await self._send_repeatedly(site, [0], times=4)
         crashes = site.crashes
         status, fields, body = await site.call("/once/", body=CRASHING)
         problem = orjson.loads(body)
@@ -134,9 +133,9 @@
         assert "quarantined" in problem["title"]
         assert float(fields["Retry-After"]) > 60
 
-    async def test_an_operator_sees_and_clears_it(self, site):
+    async def test_an_operator_can_list_and_clear_it(self, site):
         await site.start_pool(instances=1)
-        await self._come_again(site, [0], times=4)
+        await self._send_repeatedly(site, [0], times=4)
         url = f"http://{site.instances[0].metrics_address}/quarantine"
         async with site.session.get(url) as response:
             (entry,) = (await response.json())["requests"]
@@ -151,7 +150,7 @@
             assert response.status == 400
         assert not site.instances[0].quarantine.quarantined
 
-    async def test_repeats_of_one_attempt_count_as_well(self, site):
+    async def test_retries_by_an_instance_count_as_well(self, site):
         await site.start_pool(instances=1)
         for _ in range(3):
             await site.has_target_up(0)
@@ -159,25 +158,25 @@
         assert site.crashes <= 3
 
 
-class TestRequestsBesideIt:
-    async def test_are_served_and_not_accused(self, site):
-        """Streams that are cut with it go on elsewhere; they come again and again."""
+class TestConcurrentRequests:
+    async def test_are_served_and_not_quarantined(self, site):
+        """Interrupted streams resume on other targets, in each of several rounds."""
         await site.start_pool(instances=1)
         bodies = [b"sound %d" % n for n in range(4)]
         for _ in range(5):
             await site.has_target_up(0)
             sound = [site.call("/resume/", body=body) for body in bodies]
-            statuses = await asyncio.gather(*sound, self._crash(site))
+            statuses = await asyncio.gather(*sound, self._send_crashing(site))
             assert set(statuses[-1:]) <= {502, 503}
         assert site.instances[0].quarantine.quarantined == 1
         for body in bodies:
             await site.has_target_up(0)
             assert (await site.call("/resume/", body=body))[0] == 200
 
-    async def _crash(self, site):
+    async def _send_crashing(self, site):
         return (await site.call("/once/", body=CRASHING))[0]
 
-    async def test_resets_accuse_nobody(self, site):
+    async def test_resets_are_no_crashes(self, site):
         def reset(_number, fields, _body):
             return [stream_head(fields), chunk(event(0)), "reset"]
 
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.fingerprint: which requests are the same."""
+"""hibiscusstep.forwarding.fingerprint: identifies attempts of the same request."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 
 
 class TestFingerprint:
-    def test_is_the_same_for_the_same_request(self):
+    def test_is_equal_for_equal_requests(self):
         again = {**PARTS, "host": "H.Example"}
         assert fingerprint(**PARTS) == fingerprint(**again)
 
@@ -28,14 +28,14 @@
             ("body", b"bodies"),
         ],
     )
-    def test_each_part_makes_another_request(self, name, other):
+    def test_depends_on_each_part(self, name, other):
         assert fingerprint(**PARTS) != fingerprint(**{**PARTS, name: other})
 
-    def test_parts_do_not_run_into_each_other(self):
+    def test_adjacent_parts_are_separated(self):
         one = {**PARTS, "target": "/a", "customer": "bc"}
         other = {**PARTS, "target": "/ab", "customer": "c"}
         assert fingerprint(**one) != fingerprint(**other)
 
-    def test_fits_what_messages_carry(self):
+    def test_fits_a_signed_64_bit_integer(self):
         numbers = [fingerprint(**{**PARTS, "body": b"%d" % n}) for n in range(100)]
         assert all(0 < number < 1 << 63 for number in numbers)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.quarantine: what instances tell each other and keep."""
+"""hibiscusstep.forwarding.quarantine: states sent between instances and stored."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 from quota_region import Store
 
 from hibiscusstep import codec
-from hibiscusstep.forwarding.crashes import BrokenRun
+from hibiscusstep.forwarding.crashes import InterruptedAttempt
 from hibiscusstep.forwarding.kept_suspects import from_document, to_document
 from hibiscusstep.forwarding.model import DiscoveredTarget
 from hibiscusstep.forwarding.quarantine import Quarantine
@@ -19,7 +19,7 @@
 
 
 class _Connections:
-    """Refuses, or not, at once."""
+    """Connections that report immediately whether the target refused."""
 
     def __init__(self, refused=True):
         self.refused = refused
@@ -41,7 +41,7 @@
 
 
 class Region:
-    """Quarantines that hear each other at once; each by name."""
+    """Quarantines by instance name; messages are delivered without delay."""
 
     def __init__(self):
         self.store = Store()
@@ -65,7 +65,7 @@
         await self.set_views(**dict.fromkeys(names, view))
 
     async def deliver(self):
-        """Bring all messages, through the codec, until none is left."""
+        """Deliver all messages through the codec until none is left."""
         while sent := [
             (name, send)
             for name, worker in self.members.items()
@@ -80,16 +80,16 @@
                     await to.handle(Received(sender, message))
 
     async def crash(self, name, target, number, request=REQUEST):
-        """Let a target crash under a request of an instance."""
+        """Crash a target while it runs a request of an instance."""
         now = asyncio.get_running_loop().time() + number
-        run = BrokenRun(f"r{number}", request, now - 0.1, True)
+        attempt = InterruptedAttempt(f"r{number}", request, now - 0.1, True)
         item = DiscoveredTarget(target, "p", "a:1", "z", 4, False, 1)
-        self.members[name].broke(item, run)
+        self.members[name].record_interruption(item, attempt)
         for _ in range(3):
             await asyncio.sleep(0)
         await self.deliver()
 
-    async def crash_thrice(self, *names):
+    async def crash_three_targets(self, *names):
         for number, name in enumerate(names):
             await self.crash(name, f"t{number}", number)
 
@@ -101,13 +101,13 @@
                 await asyncio.sleep(0)
             await self.deliver()
 
-    def holds(self):
-        return [worker.holds(REQUEST) for worker in self.members.values()]
+    def quarantine_flags(self):
+        return [worker.is_quarantined(REQUEST) for worker in self.members.values()]
 
 
 @pytest.fixture
 async def region(monkeypatch):
-    """Crashes follow one another: the clock goes on by a second with each."""
+    """Region whose clock advances by 1 s per reading, so that runs do not overlap."""
     loop = asyncio.get_running_loop()
     clock = iter(range(1000, 10**6))
     monkeypatch.setattr(loop, "time", lambda: float(next(clock)))
@@ -118,15 +118,15 @@
         await worker.stop()
 
 
-class TestTelling:
-    async def test_three_instances_see_a_crash_each_and_all_know(self, region):
+class TestDistribution:
+    async def test_three_crashes_at_three_instances_quarantine_at_all(self, region):
         for name in "abcd":
             region.add(name)
         await region.mesh(*"abcd")
-        await region.crash_thrice("a", "b", "c")
-        assert region.holds() == [True] * 4
+        await region.crash_three_targets("a", "b", "c")
+        assert region.quarantine_flags() == [True] * 4
 
-    async def test_through_relays(self, region):
+    async def test_states_pass_through_relays(self, region):
         for name in ("r1", "r2", "f1", "f2"):
             region.add(name)
         relays = {name: _member(name) for name in ("r1", "r2")}
@@ -137,97 +137,99 @@
             f1=View({**relays, "f1": followers["f1"]}, parent="r1", others=1),
             f2=View({**relays, "f2": followers["f2"]}, parent="r2", others=1),
         )
-        await region.crash_thrice("f1", "f2", "r1")
-        assert region.holds() == [True] * 4
+        await region.crash_three_targets("f1", "f2", "r1")
+        assert region.quarantine_flags() == [True] * 4
 
-    async def test_an_answer_at_one_clears_at_all(self, region):
+    async def test_an_answer_at_one_instance_clears_at_all(self, region):
         for name in "abc":
             region.add(name)
         await region.mesh(*"abc")
-        await region.crash_thrice("a", "b", "c")
-        assert region.members["b"].answered(REQUEST)
+        await region.crash_three_targets("a", "b", "c")
+        assert region.members["b"].clear_request(REQUEST)
         await region.deliver()
-        assert region.holds() == [False] * 3
+        assert region.quarantine_flags() == [False] * 3
 
-    async def test_one_that_starts_is_told(self, region):
+    async def test_a_new_instance_receives_all_states(self, region):
         for name in "ab":
             region.add(name)
         await region.mesh(*"ab")
-        await region.crash_thrice("a", "b", "a")
+        await region.crash_three_targets("a", "b", "a")
         region.add("c")
         await region.mesh(*"abc")
-        assert region.holds() == [True] * 3
+        assert region.quarantine_flags() == [True] * 3
 
-    async def test_one_that_starts_again_at_the_same_address_is_told(self, region):
+    async def test_a_restarted_instance_at_the_same_address_receives_all_states(
+        self, region
+    ):
         for name in "ab":
             region.add(name)
         await region.mesh(*"ab")
-        await region.crash_thrice("a", "b", "a")
+        await region.crash_three_targets("a", "b", "a")
         region.add("b")
         again = Member("b", "b-2", "z", "r", "b", "o", 1, True, False)
         await region.set_views(a=View({"a": _member("a"), "b": again}))
-        assert region.holds() == [True] * 2
+        assert region.quarantine_flags() == [True] * 2
 
-    async def test_a_lost_message_is_made_up_for(self, region):
+    async def test_a_lost_message_is_sent_again(self, region):
         for name in "ab":
             region.add(name)
         await region.mesh(*"ab")
         other = region.members.pop("b")
-        await region.crash_thrice("a", "a", "a")
+        await region.crash_three_targets("a", "a", "a")
         region.members["b"] = other
         await region.tick(5)
-        assert region.holds() == [True] * 2
+        assert region.quarantine_flags() == [True] * 2
 
 
 class TestNoCrash:
-    async def test_a_target_that_still_listens_accuses_nobody(self, region):
+    async def test_a_target_that_still_listens_has_not_crashed(self, region):
         region.add("a", refused=False)
         await region.mesh("a")
-        await region.crash_thrice("a", "a", "a")
+        await region.crash_three_targets("a", "a", "a")
         assert region.members["a"].is_empty
 
-    async def test_nor_one_that_leaves(self, region):
+    async def test_a_leaving_target_has_not_crashed(self, region):
         worker = region.add("a")
         leaving = DiscoveredTarget("t", "p", "a:1", "z", 4, True, 1)
-        worker.broke(leaving, BrokenRun("r", REQUEST, 0.0, True))
+        worker.record_interruption(leaving, InterruptedAttempt("r", REQUEST, 0.0, True))
         for _ in range(3):
             await asyncio.sleep(0)
         assert worker.is_empty
 
 
-class TestKeeping:
-    async def _quarantined(self, region):
+class TestStorage:
+    async def _quarantine_request(self, region):
         for name in "ab":
             region.add(name)
         await region.mesh(*"ab")
-        await region.crash_thrice("a", "b", "a")
+        await region.crash_three_targets("a", "b", "a")
         await region.tick(2)
 
-    async def test_all_that_start_anew_know_it(self, region):
-        await self._quarantined(region)
+    async def test_quarantine_survives_a_restart_of_all(self, region):
+        await self._quarantine_request(region)
         region.members.clear()
         for name in "cd":
             region.add(name)
         await region.mesh(*"cd")
         await region.tick(2)
-        assert region.holds() == [True] * 2
+        assert region.quarantine_flags() == [True] * 2
 
-    async def test_one_of_them_writes_once(self, region):
-        await self._quarantined(region)
+    async def test_one_instance_reads_and_writes_once(self, region):
+        await self._quarantine_request(region)
         await region.tick(5)
         assert region.store.writes == 1
         assert region.store.reads == 1
 
-    async def test_nothing_is_written_on_a_calm_day(self, region):
+    async def test_nothing_is_written_without_crashes(self, region):
         for name in "abc":
             region.add(name)
         await region.mesh(*"abc")
         await region.tick(9)
         assert (region.store.writes, region.store.reads) == (0, 1)
 
-    async def test_what_could_not_be_written_is_written_later(self, region):
+    async def test_a_failed_write_is_retried(self, region):
         region.store.away = True
-        await self._quarantined(region)
+        await self._quarantine_request(region)
         assert region.store.document is None
         region.store.away = False
         await region.tick(3)
@@ -237,13 +239,13 @@
 class TestDocument:
     STATE = SuspectState(REQUEST, ["t1"], [1.0], [0.5], [3.0], [])
 
-    def test_ages_go_on_while_it_is_kept(self):
+    def test_ages_include_the_time_in_the_store(self):
         document = to_document([self.STATE], 1000.0)
         (state,) = from_document(document, 1010.0)
         assert state.ages == [13.0]
         assert (state.fingerprint, state.targets) == (REQUEST, ["t1"])
 
-    def test_a_clock_that_was_set_back_makes_no_crash_of_the_future(self):
+    def test_a_clock_set_back_gives_no_negative_age(self):
         document = to_document([self.STATE], 1000.0)
         assert from_document(document, 10.0)[0].ages == [0.0]
 
@@ -258,11 +260,11 @@
             {"crashed_at": ["x"]},
         ],
     )
-    def test_a_malformed_one_is_ignored(self, change):
+    def test_a_malformed_entry_is_ignored(self, change):
         document = to_document([self.STATE], 1000.0)
         document["requests"][0] |= change
         assert from_document(document, 1000.0) == []
 
     @pytest.mark.parametrize("document", [None, {}, {"requests": 7}])
-    def test_so_is_none(self, document):
+    def test_a_missing_or_malformed_document_is_empty(self, document):
         assert from_document(document, 1000.0) == []
