--- a/hibiscusstep/platform/__init__.py
+++ b/hibiscusstep/platform/__init__.py
@@ -1,1 +1,1 @@
-"""hibiscusstep.platform: translates between the users' platform and the product."""
+"""hibiscusstep.platform: adapter between the users' platform and hibiscusstep."""
--- a/hibiscusstep/platform/client.py
+++ b/hibiscusstep/platform/client.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.platform.client: the one client of the platform's metadata store."""
+"""hibiscusstep.platform.client: client of the platform's metadata store."""
 
 import json
 import logging
@@ -47,39 +47,39 @@
 
 _LOG = logging.getLogger(__name__)
 _ROOT = "/hibiscusstep/objects"
-_ERA_FIELD = "Store-Era"
-# A call takes some milliseconds; a slow store takes about 0.25 s.
+_ERA_HEADER = "Store-Era"
+# A call takes a few milliseconds, or about 0.25 s if the store is slow.
 CALL_TIMEOUT_S = 1.5
-# Beyond the time that the store itself waits for a change.
+# Added to the time for which the store itself waits for a change.
 WATCH_GRACE_S = 0.5
 _STATUS_ERRORS = {
     404: PlatformNotFound,
     409: PlatformConflict,
     410: HistoryLost,
 }
-_Decode = Callable[[str, int, dict, dict], object]
+_Decoder = Callable[[str, int, dict, dict], object]
 
 
 @dataclass(frozen=True, slots=True)
 class _Answer:
-    """A decoded answer of the store, and the era in which it was given."""
+    """A decoded answer of the store and its era."""
 
     body: dict
     era: int
 
 
 class ObjectClient:
-    """Calls of the store, one HTTP request each, none repeated here.
+    """Calls the store with one HTTP request each; does not retry.
 
     Parameters
     ----------
     address : str
-        IP number and port.
+        IP address and port.
 
     Attributes
     ----------
     eras : EraTracker
-        Of the store.
+        Tracks the store's era.
     """
 
     def __init__(self, address: str) -> None:
@@ -88,23 +88,26 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def call(
-        self, method: str, path: str, *, query=None, body=None, extra: float = 0.0
+        self, method: str, path: str, *, query=None, body=None, extra_wait: float = 0.0
     ) -> Result[dict, PlatformError]:
-        """Return the decoded answer of one call; `extra` seconds it may wait."""
+        """Return the decoded answer of one call.
+
+        The time-out is extended by `extra_wait` seconds.
+        """
         reply = await self.call_in_era(
-            method, path, query=query, body=body, extra=extra
+            method, path, query=query, body=body, extra_wait=extra_wait
         )
         return reply.map(lambda answer: answer.body)
 
     async def call_in_era(
-        self, method: str, path: str, *, query=None, body=None, extra: float = 0.0
+        self, method: str, path: str, *, query=None, body=None, extra_wait: float = 0.0
     ) -> Result[_Answer, PlatformError]:
-        """Return the answer of one call with its era; see `call`."""
+        """Return the decoded answer of one call and its era; see `call`."""
         if self._session is None:
             connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=10.0)
             self._session = aiohttp.ClientSession(connector=connector)
         step = f"{method} {path.split('/')[0]}"
-        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S + extra)
+        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S + extra_wait)
         data = None if body is None else orjson.dumps(body)
         headers = {"Content-Type": "application/json"} if data else None
         try:
@@ -117,9 +120,9 @@
                 timeout=timeout,
             ) as response:
                 status, text = response.status, await response.read()
-                era = self.eras.read(response.headers.get(_ERA_FIELD))
+                era = self.eras.read(response.headers.get(_ERA_HEADER))
             if status in (200, 201):
-                return Ok(_Answer(_parse(text) if text else {}, era))
+                return Ok(_Answer(_parse_json(text) if text else {}, era))
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as cause:
             detail = f"no answer: {type(cause).__name__}"
             return Err(PlatformUnavailable(detail, step=step, peer="store"))
@@ -129,7 +132,7 @@
     async def list_all(
         self, kind: str, **query: str
     ) -> Result[tuple[list[dict], int, int], PlatformError]:
-        """Return all objects of a kind, page by page, the store's revision and era."""
+        """Return all objects of a kind, the store's revision and its era."""
         items: list[dict] = []
         eras: set[int] = set()
         while True:
@@ -139,29 +142,29 @@
             page = reply.unwrap().body
             eras.add(reply.unwrap().era)
             if len(eras) > 1:
-                return Err(_restored(f"list {kind}"))
+                return Err(_restored_error(f"list {kind}"))
             try:
                 items += page["Items"]
                 if not page.get("HasMore"):
                     return Ok((items, int(page["At"]), *eras))
                 query["After"] = items[-1]["Metadata"]["Name"]
-            except f.MALFORMED as cause:
-                return Err(_malformed(kind, cause))
+            except f.MALFORMED_ERRORS as cause:
+                return Err(_malformed_error(kind, cause))
 
-    async def read_each(
+    async def read_decoded(
         self, kind: str, decode: Callable[[dict], object]
     ) -> Result[list, PlatformError]:
-        """Return all objects of a kind, decoded; the malformed ones are left out.
+        """Return all objects of a kind, decoded; malformed ones are ignored.
 
-        They may be some seconds old: such a call costs the store less.
+        They may be a few seconds old, which makes the call cheaper for the store.
         """
         listed = await self.list_all(kind, Serializable="1")
-        return listed.map(lambda found: list(_decode_each(kind, found[0], decode)))
+        return listed.map(lambda found: list(_decode_valid(kind, found[0], decode)))
 
     async def read_one(
         self, kind: str, name: str
     ) -> Result[dict | None, PlatformError]:
-        """Return what an object holds as it is now; None if there is none."""
+        """Return the current ``Spec`` of an object; None if it does not exist."""
         reply = await self.call("GET", f"{kind}/{quote(name)}")
         if reply.is_err() and isinstance(reply.unwrap_err(), PlatformNotFound):
             return Ok(None)
@@ -170,17 +173,17 @@
     async def write(
         self, kind: str, name: str, spec: dict, methods: tuple[str, str]
     ) -> Result[None, PlatformError]:
-        """Write an object without a condition.
+        """Write an object unconditionally.
 
         Parameters
         ----------
         kind, name : str
-            Of the object.
+            Kind and name of the object.
         spec : dict
-            What it holds.
+            Content of the object.
         methods : tuple of str
-            The call to try first, and the one for the other case: POST makes an
-            object, PUT replaces one.
+            Method to try first and method to fall back to. POST creates an object, PUT
+            replaces one.
         """
         body = {"Metadata": {"Name": name}, "Spec": spec}
         for method in methods:
@@ -201,7 +204,7 @@
 
 
 class ObjectFeed(Feed):
-    """The objects of one kind.
+    """Feed of the objects of one kind.
 
     Parameters
     ----------
@@ -210,20 +213,20 @@
     kind : str
         Kind of the objects.
     decode : callable of str, int, dict, dict
-        Makes the product's type of name, revision, ``Spec`` and ``Status``.
+        Returns the decoded object by name, revision, ``Spec`` and ``Status``.
     """
 
-    def __init__(self, client: ObjectClient, kind: str, decode: _Decode) -> None:
+    def __init__(self, client: ObjectClient, kind: str, decode: _Decoder) -> None:
         self._client = client
         self._kind = kind
         self._decode = decode
-        self._left_out = LeftOut()
+        self._ignored = LeftOut()
         self.name = kind
 
     @property
     def left_out(self) -> int:
-        """Objects that could not be decoded so far, each revision once."""
-        return self._left_out.count
+        """Number of revisions so far that could not be decoded."""
+        return self._ignored.count
 
     async def read_all(self) -> Result[Listing, PlatformError]:
         """Return all objects."""
@@ -231,89 +234,90 @@
         if listed.is_err():
             return listed
         found, revision, era = listed.unwrap()
-        decoded = (self._change(item, era, revision) for item in found)
+        decoded = (self._to_change(item, era, revision) for item in found)
         items = {change.name: change.item for change in decoded if change}
         usable = {name: item for name, item in items.items() if item is not None}
         return Ok(Listing(usable, join_revision(era, revision), era))
 
     async def watch(self, revision: int, timeout: float):
-        """Return the changes since a revision, `HistoryLost` over a restore."""
+        """Return the changes since a revision, or `HistoryLost` after a restore."""
         era, since = split_revision(revision)
         query = {"Watch": str(since), "WaitMs": str(int(timeout * 1000))}
         reply = await self._client.call_in_era(
             "GET",
             self._kind,
             query=query,
-            extra=timeout - CALL_TIMEOUT_S + WATCH_GRACE_S,
+            extra_wait=timeout - CALL_TIMEOUT_S + WATCH_GRACE_S,
         )
         if reply.is_err():
             return reply
         answer = reply.unwrap()
         if answer.era != era:
-            # The revision from which it went on was given out again.
-            return Err(_restored(f"watch {self._kind}"))
+            # The revision was reused after the restore and means another state.
+            return Err(_restored_error(f"watch {self._kind}"))
         try:
             at = int(answer.body["At"])
             changes = [
                 change
                 for event in answer.body.get("events", ())
                 if (
-                    change := self._change(
+                    change := self._to_change(
                         event["Object"], era, at, event.get("Removed")
                     )
                 )
             ]
-        except f.MALFORMED as cause:
-            return Err(_malformed(self._kind, cause))
+        except f.MALFORMED_ERRORS as cause:
+            return Err(_malformed_error(self._kind, cause))
         return Ok((changes, join_revision(era, at)))
 
-    def _change(
+    def _to_change(
         self, item: dict, era: int, at: int, removed: bool = False
     ) -> Change | None:
-        """Return what an object is now: nothing, where it is gone or malformed.
+        """Return an object's change; its item is None if removed or malformed.
 
-        Its revision is its own, not that of the answer: an object that is made anew in
-        the same answer as its removal is newer than that.
+        Return None if the object has no valid name and revision. The change has the
+        object's own revision, not the answer's, so that an object which is recreated in
+        the same answer is newer than its removal.
         """
         try:
             metadata = item["Metadata"]
             name, revision = metadata["Name"], metadata.get("Revision", at)
             if not isinstance(name, str) or type(revision) is not int:
-                raise ValueError("no name and revision")
+                raise ValueError("name or revision missing or of another type")
             revision = join_revision(era, revision)
-        except f.MALFORMED as cause:
-            self._leave_out("", at, cause)
+        except f.MALFORMED_ERRORS as cause:
+            self._log_ignored("", at, cause)
             return None
         if removed:
             return Change(name, None, revision)
-        return Change(name, self._decoded(name, revision, item), revision)
+        return Change(name, self._decode_item(name, revision, item), revision)
 
-    def _decoded(self, name: str, revision: int, item: dict) -> object | None:
+    def _decode_item(self, name: str, revision: int, item: dict) -> object | None:
         try:
             spec, status = item.get("Spec") or {}, item.get("Status") or {}
             return self._decode(name, revision, spec, status)
-        except (ConfigurationError, *f.MALFORMED) as cause:
-            self._leave_out(name, revision, cause)
+        except (ConfigurationError, *f.MALFORMED_ERRORS) as cause:
+            self._log_ignored(name, revision, cause)
             return None
 
-    def _leave_out(self, name: str, revision: int, cause: Exception) -> None:
-        if not self._left_out.is_new(name, revision):
+    def _log_ignored(self, name: str, revision: int, cause: Exception) -> None:
+        if not self._ignored.is_new(name, revision):
             return
         extra = {"kind": self._kind, "object": name, "revision": revision}
         _LOG.error("object left out", extra={**extra, "error": str(cause)})
 
 
 class ObjectRoster(Roster):
-    """The instances, each with an object that it wrote at its start.
+    """Roster of the instances, which each write an object at their start.
 
     Parameters
     ----------
     client : ObjectClient
         Makes the calls.
     all_are_new : bool
-        Whether the whole system starts for the first time. Else an instance mostly
-        starts again, and finds its object of before: 195 that restart at once then
-        make 195 calls to write them, and not twice as many.
+        Whether the whole system starts for the first time. Otherwise most instances
+        restart and their objects exist: 195 instances that restart at once then make
+        195 calls to write them instead of 390.
     """
 
     _KIND = "hibiscusstep-instances"
@@ -323,7 +327,7 @@
         self._methods = ("POST", "PUT") if all_are_new else ("PUT", "POST")
 
     async def register(self, record: InstanceRecord) -> Result[None, PlatformError]:
-        """Write one's own record, unless it stands there already."""
+        """Write the record of an instance, replacing an earlier one."""
         spec = {
             "DataCentre": record.data_centre,
             "PeerAddress": record.peer_address,
@@ -332,12 +336,12 @@
         return await self._client.write(self._KIND, record.name, spec, self._methods)
 
     async def instances(self) -> Result[list[InstanceRecord], PlatformError]:
-        """Return the records; they may be some seconds old."""
-        return await self._client.read_each(self._KIND, _record)
+        """Return the records, which may be a few seconds old."""
+        return await self._client.read_decoded(self._KIND, _parse_record)
 
 
 class ObjectBeliefs(BeliefStore):
-    """An object for each pool, which its dispatcher writes.
+    """Store with one object per pool, which the pool's dispatcher writes.
 
     Parameters
     ----------
@@ -355,12 +359,12 @@
         return await self._client.write(self._KIND, pool, document, ("PUT", "POST"))
 
     async def read_all(self) -> Result[dict[str, dict], PlatformError]:
-        """Return the documents by pool."""
-        return (await self._client.read_each(self._KIND, _belief)).map(dict)
+        """Return the documents of all pools."""
+        return (await self._client.read_decoded(self._KIND, _parse_belief)).map(dict)
 
 
-class _OneObject:
-    """One object of the store, which one of the instances writes.
+class _SingleObjectStore:
+    """Store with a single object, which one of the instances writes.
 
     Parameters
     ----------
@@ -381,33 +385,33 @@
         )
 
     async def read(self) -> Result[dict | None, PlatformError]:
-        """Return the document; the store may not give an older one for it."""
+        """Return the current document, without a stale read."""
         return await self._client.read_one(self._KIND, self._NAME)
 
 
-class ObjectUse(_OneObject, UseStore):
-    """What customers used."""
+class ObjectUse(_SingleObjectStore, UseStore):
+    """Store of the customers' usage."""
 
     _KIND = "hibiscusstep-use"
     _NAME = "customers"
 
 
-class ObjectSuspects(_OneObject, SuspectStore):
-    """Requests that crash targets."""
+class ObjectSuspects(_SingleObjectStore, SuspectStore):
+    """Store of the quarantined requests."""
 
     _KIND = "hibiscusstep-suspects"
     _NAME = "requests"
 
 
 class ObjectRollouts(RolloutStore):
-    """Orders that operators write, whose status the system writes.
+    """Rollout orders written by operators, with status written by the system.
 
     Parameters
     ----------
     client : ObjectClient
         Makes the calls.
     feed : ObjectFeed
-        The orders.
+        Feed of the orders.
     """
 
     _KEPT_KIND = "hibiscusstep-rollouts"
@@ -419,10 +423,10 @@
     async def write_state(
         self, order: RolloutOrder, state: RolloutState
     ) -> Result[RolloutOrder, PlatformError]:
-        """Write the status of an order on its revision's condition."""
+        """Write the status of an order, if its revision is still current."""
         era, revision = split_revision(order.revision)
         if era != self._client.eras.era:
-            return Err(_restored("write rollout status"))
+            return Err(_restored_error("write rollout status"))
         body = {
             "Metadata": {"Name": order.pool, "Revision": revision},
             "Status": rollout_status(order.version, state),
@@ -434,8 +438,8 @@
         answer = reply.unwrap()
         try:
             written = int(answer.body["Metadata"]["Revision"])
-        except f.MALFORMED:
-            # The feed tells the revision; until then the next write finds a conflict.
+        except f.MALFORMED_ERRORS:
+            # The feed will supply the revision; a write before that gets a conflict.
             written = revision
         since = join_revision(answer.era, written)
         return Ok(
@@ -455,40 +459,40 @@
         return await self._client.read_one(self._KEPT_KIND, pool)
 
 
-def _record(item: dict) -> InstanceRecord:
+def _parse_record(item: dict) -> InstanceRecord:
     spec = item["Spec"]
     return InstanceRecord(
         f.read_id(item["Metadata"], "Name"),
         f.read_text(spec, "DataCentre"),
         f.read_address(spec, "PeerAddress"),
-        capacity=f.read_whole(spec, "Capacity", least=1) if "Capacity" in spec else 1,
+        capacity=f.read_int(spec, "Capacity", least=1) if "Capacity" in spec else 1,
     )
 
 
-def _belief(item: dict) -> tuple[str, dict]:
+def _parse_belief(item: dict) -> tuple[str, dict]:
     return f.read_text(item["Metadata"], "Name"), item["Spec"]
 
 
-def _decode_each(
+def _decode_valid(
     kind: str, found: list, decode: Callable[[dict], object]
 ) -> Iterator[object]:
     for item in found:
         try:
             yield decode(item)
-        except f.MALFORMED as cause:
+        except f.MALFORMED_ERRORS as cause:
             _LOG.error("object left out", extra={"kind": kind, "error": str(cause)})
 
 
-def _parse(text: bytes) -> object:
-    """Return the document of an answer.
+def _parse_json(text: bytes) -> object:
+    """Return the decoded JSON of an answer.
 
-    One object with bytes that are no text, or a NaN, must not hide all others: what
-    the strict reader refuses is read as far as it goes, and each object judged alone.
+    An object with invalid UTF-8 or a NaN must not hide all others. If the strict parser
+    fails, the answer is parsed leniently, and each object is validated separately.
 
     Raises
     ------
     ValueError
-        If it is no document.
+        If the answer is not JSON.
     """
     try:
         return orjson.loads(text)
@@ -500,10 +504,10 @@
         raise ValueError("nested too deeply") from None
 
 
-def _restored(step: str) -> HistoryLost:
+def _restored_error(step: str) -> HistoryLost:
     return HistoryLost("restored from an older copy", step=step, peer="store")
 
 
-def _malformed(kind: str, cause: Exception) -> PlatformError:
+def _malformed_error(kind: str, cause: Exception) -> PlatformError:
     detail = f"malformed answer: {cause!r}"
     return PlatformUnavailable(detail, step=f"read {kind}", peer="store")
--- a/hibiscusstep/platform/documents.py
+++ b/hibiscusstep/platform/documents.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.platform.documents: the store's documents as the product's types."""
+"""hibiscusstep.platform.documents: decoding of the store's documents."""
 
 import orjson
 
@@ -35,10 +35,10 @@
 DEFAULT_OBJECTIVE_MS = 1_000
 DEFAULT_PAUSE_MS = 1_000
 LOWEST_RANK = 9
-# A target that claims more would draw all work; engines batch some dozens.
+# A target with a larger value would attract all work; engines batch a few dozen.
 MAX_SLOTS = 4096
-_READY, _LEAVING = "ready", "draining"
-# An order that lasts longer is a mistake in its unit.
+_READY_STATE, _LEAVING_STATE = "ready", "draining"
+# A longer duration indicates a wrong unit.
 MAX_ROLLOUT_S = 7 * 86_400.0
 MIN_ROLLOUT_S = 1.0
 _ROLLOUT_STATES = {
@@ -49,25 +49,25 @@
 
 
 def decode_table(name: str, revision: int, spec: dict, status: dict) -> RoutingTable:
-    """Return the configuration that a store's object holds.
+    """Return the configuration of an object in the store.
 
     Raises
     ------
     ConfigurationError
-        If it is not one.
+        If it is malformed.
     """
     if name != CONFIGURATION_NAME:
-        raise ConfigurationError("not a name that is read", key=name)
+        raise ConfigurationError("unexpected object name", key=name)
     return table_of(spec)
 
 
 def table_from_bytes(value: bytes) -> RoutingTable:
-    """Return the configuration that a peer handed on.
+    """Return the configuration that a peer sent.
 
     Raises
     ------
     ConfigurationError
-        If it is not one.
+        If it is malformed.
     """
     try:
         return table_of(orjson.loads(value))
@@ -86,40 +86,43 @@
     try:
         return RoutingTable(
             version=int(spec["Version"]),
-            routes=tuple(_route(entry) for entry in spec.get("Routes") or ()),
-            customers=tuple(_customer(entry) for entry in spec.get("Tenants") or ()),
-            pools=tuple(_pool(entry) for entry in spec.get("Services") or ()),
-            limits=_limits(spec.get("Limits") or {}),
+            routes=tuple(_decode_route(entry) for entry in spec.get("Routes") or ()),
+            customers=tuple(
+                _decode_customer(entry) for entry in spec.get("Tenants") or ()
+            ),
+            pools=tuple(_decode_pool(entry) for entry in spec.get("Services") or ()),
+            limits=_decode_limits(spec.get("Limits") or {}),
             value=orjson.dumps(spec),
         )
-    except f.MALFORMED as cause:
+    except f.MALFORMED_ERRORS as cause:
         raise ConfigurationError(f"malformed: {cause!r}", key="config") from None
 
 
 def decode_target(
     name: str, revision: int, spec: dict, status: dict
 ) -> DiscoveredTarget:
-    """Return the target of an entry that it wrote of itself.
+    """Return the target of an entry that the target itself wrote.
 
     Raises
     ------
     MalformedField
-        If it is not such an entry: others write to the store too. Fields that are not
-        used here tell the writer as well as those that are.
+        If it is not such an entry, since others write to the store too. Fields that are
+        not used here are checked as well, because they identify the writer.
     """
     entry = {**spec, **status}
-    f.read_number(entry, "ColdLeftMs")
-    f.read_whole(entry, "Sequence")
+    f.read_float(entry, "ColdLeftMs")
+    f.read_int(entry, "Sequence")
     return DiscoveredTarget(
         id=f.read_id({"Name": name}, "Name"),
         pool=f.read_text(entry, "Service"),
         address=f.read_address(entry, "Address"),
         data_centre=f.read_text(entry, "Zone"),
-        slots=f.read_whole(entry, "Slots", least=1, most=MAX_SLOTS),
-        leaving=f.read_choice(entry, "State", (_READY, _LEAVING)) == _LEAVING,
+        slots=f.read_int(entry, "Slots", least=1, most=MAX_SLOTS),
+        leaving=f.read_choice(entry, "State", (_READY_STATE, _LEAVING_STATE))
+        == _LEAVING_STATE,
         revision=revision,
-        # `born`, the millisecond of its start, changes when it starts again.
-        incarnation=f.read_whole(entry, "born", least=1) if "born" in entry else 0,
+        # `born`, the start time in milliseconds, changes at each restart.
+        incarnation=f.read_int(entry, "born", least=1) if "born" in entry else 0,
         version=f.read_text(entry, "Version"),
     )
 
@@ -127,26 +130,28 @@
 def decode_rollout(name: str, revision: int, spec: dict, status: dict) -> RolloutOrder:
     """Return an operator's order to move a pool's traffic to a version.
 
-    A status that can't be read counts as none: it is written again.
+    A status that cannot be decoded counts as missing and is written again.
 
     Raises
     ------
     MalformedField
-        If it is not one, or lasts for no time or for longer than a week.
+        If a field is malformed or the duration is not between 1 s and a week.
     """
     pool = f.read_text(spec, "Service")
     if pool != name:
-        raise f.MalformedField("Service", f"not the name of the order: {name!r}")
-    duration = f.read_number(spec, "DurationS")
+        raise f.MalformedField(
+            "Service", f"differs from the name of the order: {name!r}"
+        )
+    duration = f.read_float(spec, "DurationS")
     if not MIN_ROLLOUT_S <= duration <= MAX_ROLLOUT_S:
         limits = f"{MIN_ROLLOUT_S:g} to {MAX_ROLLOUT_S:g}"
-        raise f.MalformedField("DurationS", f"not within {limits} seconds")
-    state, state_version = _rollout_state(status)
+        raise f.MalformedField("DurationS", f"must be within {limits} seconds")
+    state, state_version = _decode_rollout_state(status)
     version = f.read_text(spec, "To")
     return RolloutOrder(pool, version, duration, revision, state, state_version)
 
 
-def _rollout_state(status: dict) -> tuple[RolloutState | None, str]:
+def _decode_rollout_state(status: dict) -> tuple[RolloutState | None, str]:
     try:
         state = f.read_choice(status, "State", _ROLLOUT_STATES)
         return _ROLLOUT_STATES[state], f.read_text(status, "To")
@@ -155,12 +160,12 @@
 
 
 def rollout_status(version: str, state: RolloutState) -> dict:
-    """Return the status of an order to a version as a document."""
+    """Return the status document of a rollout order."""
     names = {value: name for name, value in _ROLLOUT_STATES.items()}
     return {"State": names[state], "To": version}
 
 
-def _route(entry: dict) -> ForwardRoute:
+def _decode_route(entry: dict) -> ForwardRoute:
     split = entry.get("TrafficSplit") or [
         {"Service": entry.get("Service"), "Weight": 1}
     ]
@@ -172,7 +177,7 @@
         prefix=entry["PathPrefix"],
         shares=tuple(share for share in shares if share.weight > 0) or shares[:1],
         streaming=kind == "streaming",
-        repeat=_repeat(kind, bool(entry.get("Resumable"))),
+        repeat=_decode_repeat(kind, bool(entry.get("Resumable"))),
         timeout=float(entry.get("TimeoutMs") or DEFAULT_TIMEOUT_MS) / 1000,
         objective=float(entry.get("TargetLatencyMs") or DEFAULT_OBJECTIVE_MS) / 1000,
         rank=int(entry.get("Priority", LOWEST_RANK)),
@@ -182,13 +187,13 @@
     )
 
 
-def _repeat(kind: str, resumable: bool) -> Repeat:
+def _decode_repeat(kind: str, resumable: bool) -> Repeat:
     if kind == "safe":
         return Repeat.WHOLE
     return Repeat.RESUME if kind == "streaming" and resumable else Repeat.NEVER
 
 
-def _customer(entry: dict) -> CustomerRule:
+def _decode_customer(entry: dict) -> CustomerRule:
     quota = Quota(
         rate=float(entry.get("RatePerS") or 0),
         burst=float(entry.get("Burst") or 0),
@@ -203,7 +208,7 @@
     )
 
 
-def _pool(entry: dict) -> PoolRule:
+def _decode_pool(entry: dict) -> PoolRule:
     return PoolRule(
         name=entry["Name"],
         engine=bool(entry.get("Engine")),
@@ -212,7 +217,7 @@
     )
 
 
-def _limits(entry: dict) -> IngressLimits:
+def _decode_limits(entry: dict) -> IngressLimits:
     default = IngressLimits()
     return IngressLimits(
         int(entry.get("MaxHeaderBytes") or default.max_header_bytes),
--- a/hibiscusstep/platform/headers.py
+++ b/hibiscusstep/platform/headers.py
@@ -1,35 +1,35 @@
-"""hibiscusstep.platform.headers: header fields of callers' requests and answers."""
+"""hibiscusstep.platform.headers: the platform's header fields."""
 
 from hibiscusstep.forwarding.dialect import AnswerHead, Dialect, Order, RequestHead
 
 __all__ = ["PlatformDialect"]
 
-_MISDIRECTED = 421
-_TURNED_AWAY = 503
-# A target that asks for more is asked again after this; it may mean a date.
-MAX_STAY_AWAY_S = 300.0
-_HOP = frozenset(
+_MISDIRECTED_REQUEST = 421
+_SERVICE_UNAVAILABLE = 503
+# Upper bound of a target's ``Retry-After``; a larger number may be meant as a date.
+MAX_RETRY_AFTER_S = 300.0
+_HOP_BY_HOP = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade "
     b"content-length proxy-authenticate proxy-authorization expect".split()
 )
-# Only the system may set these; a caller's own are dropped.
-_RESERVED = frozenset(
+# Only the system sets these; fields of callers are dropped.
+_RESERVED_FIELDS = frozenset(
     b"authorization x-tenant x-target-instance x-request-deadline-ms last-event-id "
     b"x-hold x-pin-ms x-kv-backup kv-from kv-fetch x-expected-version".split()
 )
-_DROPPED = _HOP | _RESERVED
+_DROPPED_FIELDS = _HOP_BY_HOP | _RESERVED_FIELDS
 _BEARER = "bearer "
 
 
 class PlatformDialect(Dialect):
-    """The header fields of the users' platform."""
+    """Dialect of the users' platform."""
 
     def read_request(self, headers) -> RequestHead:
-        """Return what a caller's fields say; what is malformed counts as absent."""
+        """Parse a caller's fields; malformed ones count as absent."""
         usage = headers.get("X-Token-Usage", "")
-        prompt, output = _pair(usage)
-        hint = _number(headers.get("X-Length-Hint"))
-        deadline_ms = _number(headers.get("X-Request-Deadline-Ms"))
+        prompt, output = _parse_int_pair(usage)
+        hint = _parse_float(headers.get("X-Length-Hint"))
+        deadline_ms = _parse_float(headers.get("X-Request-Deadline-Ms"))
         authorization = headers.get("Authorization", "")
         bearer = authorization[: len(_BEARER)].lower() == _BEARER
         return RequestHead(
@@ -45,8 +45,8 @@
         )
 
     def order_fields(self, raw, order: Order):
-        """Return the caller's fields without hop-by-hop and reserved ones, and ours."""
-        fields = [(k, v) for k, v in raw if k.lower() not in _DROPPED]
+        """Return the caller's end-to-end fields and those that the system adds."""
+        fields = [(k, v) for k, v in raw if k.lower() not in _DROPPED_FIELDS]
         milliseconds = max(1, int(order.timeout * 1000))
         fields.append((b"X-Request-Deadline-Ms", str(milliseconds).encode()))
         fields.append((b"X-Target-Instance", order.target.encode()))
@@ -57,32 +57,33 @@
         return fields
 
     def read_answer(self, status: int, headers) -> AnswerHead:
-        """Return what a target's fields say."""
-        running, waiting = _pair(headers.get("X-Server-Load", ""), -1)
+        """Parse a target's fields."""
+        running, waiting = _parse_int_pair(headers.get("X-Server-Load", ""), -1)
         return AnswerHead(
             request=headers.get("X-Request-Id", ""),
             sealed="X-Response-Seal" in headers,
-            not_run="X-Not-Executed" in headers or status == _MISDIRECTED,
-            misdirected=status == _MISDIRECTED,
+            not_run="X-Not-Executed" in headers or status == _MISDIRECTED_REQUEST,
+            misdirected=status == _MISDIRECTED_REQUEST,
             encoded=headers.get("Content-Encoding", "identity") != "identity",
             running=running,
             waiting=waiting,
-            idle_timeout=_keep_alive(headers.get("Keep-Alive", "")),
-            # Of a misdirected request another target than the one meant answers.
-            leaving=headers.get("Server-Leaving") == "1" and status != _MISDIRECTED,
-            stay_away=_stay_away(status, headers),
+            idle_timeout=_parse_keep_alive_timeout(headers.get("Keep-Alive", "")),
+            # A misdirected request is answered by another target than the intended one.
+            leaving=headers.get("Server-Leaving") == "1"
+            and status != _MISDIRECTED_REQUEST,
+            stay_away=_parse_retry_after(status, headers),
         )
 
     def answer_fields(self, raw):
-        """Return the target's fields without those of the connection."""
+        """Return the target's fields without hop-by-hop ones."""
         return [
             (k.decode("latin-1"), v.decode("latin-1"))
             for k, v in raw
-            if k.lower() not in _HOP
+            if k.lower() not in _HOP_BY_HOP
         ]
 
 
-def _pair(text: str, absent: int = 0) -> tuple[int, int]:
+def _parse_int_pair(text: str, absent: int = 0) -> tuple[int, int]:
     parts = text.split(",")
     try:
         return int(parts[0]), int(parts[1])
@@ -90,26 +91,26 @@
         return absent, absent
 
 
-def _number(text: str | None) -> float | None:
+def _parse_float(text: str | None) -> float | None:
     try:
         return float(text) if text else None
     except ValueError:
         return None
 
 
-def _stay_away(status: int, headers) -> float:
-    """Return the seconds of a refusal's ``Retry-After``; 0 if there are none."""
-    if status != _TURNED_AWAY:
+def _parse_retry_after(status: int, headers) -> float:
+    """Return the seconds of ``Retry-After`` of a 503 answer; 0 if there are none."""
+    if status != _SERVICE_UNAVAILABLE:
         return 0.0
-    seconds = _number(headers.get("Retry-After"))
+    seconds = _parse_float(headers.get("Retry-After"))
     if seconds is None or not seconds > 0:
         return 0.0
-    return min(seconds, MAX_STAY_AWAY_S)
+    return min(seconds, MAX_RETRY_AFTER_S)
 
 
-def _keep_alive(text: str) -> float:
+def _parse_keep_alive_timeout(text: str) -> float:
     for part in text.split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout":
-            return _number(value) or 0.0
+            return _parse_float(value) or 0.0
     return 0.0
--- a/hibiscusstep/platform/settings.py
+++ b/hibiscusstep/platform/settings.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.platform.settings: the platform's settings file as the product's."""
+"""hibiscusstep.platform.settings: reads the platform's settings file."""
 
 import os
 from dataclasses import dataclass
@@ -14,33 +14,33 @@
 __all__ = ["PlatformSettings", "load_platform_settings"]
 
 PEER_KEY_VARIABLE = "HIBISCUSSTEP_PEER_KEY"
-# Names of mechanisms to turn off, by comma; to measure what each is worth.
-OFF_VARIABLE = "HIBISCUSSTEP_OFF"
-# The deploy file declares the same port and path as the place of the metrics.
+# Comma-separated names of mechanisms to disable, to measure the effect of each.
+DISABLED_MECHANISMS_VARIABLE = "HIBISCUSSTEP_OFF"
+# The deploy file declares the same port and path for the metrics.
 METRICS_PORT = 9464
-# A quarter of a second and four misses: a dead peer is gone after a second, well
-# within the time in which a second dispatcher must stand in.
+# A dead peer is suspected after 1 s, four missed heartbeats, well within the time in
+# which another dispatcher must take over.
 HEARTBEAT_INTERVAL_S = 0.25
 SUSPECT_AFTER_S = 1.0
-# A link that lets two cores work; relays and dispatchers speak to many.
-WIDE_LINK_MBPS = 100.0
-MOST_CORES = 2.0
+# Link bandwidth that keeps two cores busy; relays and dispatchers serve many peers.
+FULL_LINK_MBPS = 100.0
+MAX_CORES = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """The product's settings, and where the platform's store is.
+    """Settings of an instance, and the address of the platform's store.
 
     Parameters
     ----------
     instance : InstanceSettings
-        Of the instance.
+        Settings of the instance.
     bounds : Bounds
-        Times and limits that the platform sets.
+        Times and limits set by the platform.
     store_address : str
-        IP number and port of the store.
+        IP address and port of the store.
     ready_address : str
-        Where the platform's balancer asks for readiness.
+        Address of the readiness check by the platform's load balancer.
     all_are_new : bool
         Whether the whole system starts for the first time.
     """
@@ -53,23 +53,23 @@
 
 
 def load_platform_settings(path: Path) -> PlatformSettings:
-    """Return the settings that the platform wrote.
+    """Return the settings in the platform's file.
 
     Raises
     ------
     ConfigurationError
-        If the file is missing, is no JSON or lacks a field.
+        If the file is missing, is not JSON or lacks a field.
     """
     try:
         document = orjson.loads(path.read_bytes())
-        return _settings(document)
+        return _parse_settings(document)
     except (OSError, orjson.JSONDecodeError) as cause:
         raise ConfigurationError(str(cause), file=str(path)) from None
     except (KeyError, TypeError, ValueError) as cause:
         raise ConfigurationError(f"malformed: {cause!r}", file=str(path)) from None
 
 
-def _settings(document: dict) -> PlatformSettings:
+def _parse_settings(document: dict) -> PlatformSettings:
     ip, listen = document["Ip"], document["Listen"]
     port = document["InternalPorts"][0]
     hosts = [seed.rpartition(":")[0] for seed in document.get("Seeds") or ()]
@@ -85,11 +85,11 @@
         heartbeat_interval=HEARTBEAT_INTERVAL_S,
         suspect_after=SUSPECT_AFTER_S,
         capacity=_capacity(document.get("Limits") or {}),
-        switches=Switches.without(os.environ.get(OFF_VARIABLE, "")),
+        switches=Switches.without(os.environ.get(DISABLED_MECHANISMS_VARIABLE, "")),
     )
     return PlatformSettings(
         instance,
-        _bounds(document["Bounds"]),
+        _parse_bounds(document["Bounds"]),
         document["Platform"]["Address"],
         listen["Ready"],
         bool(document.get("Bootstrap", False)),
@@ -97,16 +97,16 @@
 
 
 def _capacity(limits: dict) -> int:
-    """Return hundredths of a core, or fewer where the link is narrow.
+    """Return the capacity in hundredths of a core, reduced for a slow link.
 
-    `CpuShare` is of each of the `Cores`.
+    `CpuShare` applies to each of the `Cores`.
     """
     cores = float(limits.get("CpuShare", 1.0)) * float(limits.get("Cores", 1))
-    link = float(limits.get("LinkMbps", WIDE_LINK_MBPS)) / WIDE_LINK_MBPS
-    return max(1, round(100 * min(cores, MOST_CORES * link)))
+    link = float(limits.get("LinkMbps", FULL_LINK_MBPS)) / FULL_LINK_MBPS
+    return max(1, round(100 * min(cores, MAX_CORES * link)))
 
 
-def _bounds(bounds: dict) -> Bounds:
+def _parse_bounds(bounds: dict) -> Bounds:
     default = Bounds()
     return Bounds(
         stop_grace=float(bounds.get("GraceS", default.stop_grace)),
--- a/hibiscusstep/platform/surroundings.py
+++ b/hibiscusstep/platform/surroundings.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.platform.surroundings: all that the adapter brings to an instance."""
+"""hibiscusstep.platform.surroundings: the platform's dependencies of an instance."""
 
 import socket
 from pathlib import Path
@@ -34,19 +34,19 @@
 def load_surroundings(
     path: Path, caller_socket: socket.socket | None = None
 ) -> Surroundings:
-    """Return what an instance needs, by the platform's settings file.
+    """Return the dependencies of an instance by the platform's settings file.
 
     Parameters
     ----------
     path : pathlib.Path
-        The file.
+        Path of the settings file.
     caller_socket : socket.socket or None
-        Listens for callers already.
+        Socket that already listens for callers, if any.
 
     Raises
     ------
     ConfigurationError
-        If the file cannot be read.
+        If the file is missing or malformed.
     """
     loaded = load_platform_settings(path)
     settings = loaded.instance
@@ -76,7 +76,7 @@
         register=lambda: roster.register(record),
         read_table=table_from_bytes,
         read_bounds=lambda: load_platform_settings(path).bounds,
-        on_store_restored=client.eras.tell,
+        on_store_restored=client.eras.set_on_restored,
         close=client.close,
         caller_socket=caller_socket,
     )
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -1,9 +1,9 @@
-"""hibiscusstep.platform.headers: what a target's fields say of itself."""
+"""hibiscusstep.platform.headers: header fields of targets' answers."""
 
 import pytest
 from multidict import CIMultiDict
 
-from hibiscusstep.platform.headers import MAX_STAY_AWAY_S, PlatformDialect
+from hibiscusstep.platform.headers import MAX_RETRY_AFTER_S, PlatformDialect
 
 
 def _read(status=200, **fields):
@@ -13,30 +13,30 @@
 
 class TestLeaving:
     @pytest.mark.parametrize("status", [200, 404, 500, 503])
-    def test_any_answer_may_say_it(self, status):
+    def test_any_status_may_carry_it(self, status):
         assert _read(status, Server_Leaving="1").leaving
 
     @pytest.mark.parametrize("value", ["", "0", "yes", "11"])
-    def test_nothing_else_means_it(self, value):
+    def test_other_values_are_ignored(self, value):
         assert not _read(Server_Leaving=value).leaving
         assert not _read().leaving
 
-    def test_another_target_at_the_address_speaks_for_itself(self):
+    def test_a_misdirected_answer_is_ignored(self):
         assert not _read(421, Server_Leaving="1").leaving
 
 
-class TestStayAway:
-    def test_a_refusal_tells_for_how_long(self):
+class TestRetryAfter:
+    def test_a_503_answer_gives_the_seconds(self):
         assert _read(503, Retry_After="2.5").stay_away == 2.5
 
     @pytest.mark.parametrize("status", [200, 429, 500])
-    def test_other_answers_do_not(self, status):
+    def test_other_statuses_are_ignored(self, status):
         assert _read(status, Retry_After="2.5").stay_away == 0.0
 
     @pytest.mark.parametrize("value", ["", "-3", "0", "nan", "soon", "Fri, 4 Dec 2026"])
-    def test_what_is_no_time_counts_as_absent(self, value):
+    def test_a_malformed_value_counts_as_absent(self, value):
         assert _read(503, Retry_After=value).stay_away == 0.0
 
     @pytest.mark.parametrize("value", ["1e9", "inf"])
-    def test_it_is_bounded(self, value):
-        assert _read(503, Retry_After=value).stay_away == MAX_STAY_AWAY_S
+    def test_the_time_is_bounded(self, value):
+        assert _read(503, Retry_After=value).stay_away == MAX_RETRY_AFTER_S
