--- a/hibiscusstep/forwarding/catalog.py
+++ b/hibiscusstep/forwarding/catalog.py
@@ -270,11 +270,11 @@
             for name, target in self._targets.items()
             if name not in listing.items and target.revision <= listing.revision
         ]
-        news = [
+        present = [
             Change(name, target, target.revision)
             for name, target in listing.items.items()
         ]
-        self._apply_changes([*news, *removed])
+        self._apply_changes([*present, *removed])
         if not self._has_published:
             self._publish([])
 
@@ -326,12 +326,12 @@
         return True
 
     def _only_leaving_is_new(
-        self, known: DiscoveredTarget, news: DiscoveredTarget
+        self, known: DiscoveredTarget, update: DiscoveredTarget
     ) -> bool:
         """Return whether only the target's own announcement to leave is new."""
-        older = news.revision <= known.revision
-        same = news.name == known.name
-        return same and older and news.leaving and not known.leaving
+        older = update.revision <= known.revision
+        same = update.name == known.name
+        return same and older and update.leaving and not known.leaving
 
     def _set_leaving(self, name: str, known: DiscoveredTarget) -> None:
         target = replace(known, leaving=True)
--- a/hibiscusstep/forwarding/crashes.py
+++ b/hibiscusstep/forwarding/crashes.py
@@ -12,7 +12,7 @@
 __all__ = ["InterruptedAttempt", "CrashDetector"]
 
 _LOG = logging.getLogger(__name__)
-# Connections that break within this time of the check belong to the same crash.
+# Connections that break within this time of the first one belong to the same crash.
 CRASH_MEMORY_S = 10.0
 
 
--- a/hibiscusstep/forwarding/standing.py
+++ b/hibiscusstep/forwarding/standing.py
@@ -24,7 +24,7 @@
     incoming : Incoming
         The request.
     quarantine : Quarantine
-        Quarantine of all instances.
+        Quarantine shared by all instances.
     """
 
     def __init__(self, incoming: Incoming, quarantine: Quarantine) -> None:
--- a/tests/crash_region.py
+++ b/tests/crash_region.py
@@ -83,7 +83,7 @@
     def _schedule(self, time, action, *args):
         heapq.heappush(self._events, (time, next(self._sequence), action, args))
 
-    def play(self):
+    def simulate(self):
         self._schedule(0.0, self._harmless_arrives)
         for number in range(1, CRASHING_REQUESTS + 1):
             self._schedule(3.0 + number, self._crashing_arrives, number)
--- a/tests/test_crash_region.py
+++ b/tests/test_crash_region.py
@@ -29,7 +29,7 @@
     )
     def test_few_are_sent_late_and_no_harmless_one_is_refused(self, troubles):
         for seed in SEEDS:
-            region = CrashRegion(seed, **troubles).play()
+            region = CrashRegion(seed, **troubles).simulate()
             assert max(region.late.values(), default=0) <= MAX_LATE
             assert not [request for request in region.refused if request >= 100]
             assert set(region.refused) == {1, 2}
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -61,7 +61,7 @@
             await target.start_again(next(self._names))
             self.store.put("servers", target.name, target.entry("pool-a"))
 
-    async def has_target_up(self, instance):
+    async def wait_for_target(self, instance):
         """Wait until an instance knows a running target."""
         async with asyncio.timeout(BOUND_S):
             while True:
@@ -89,7 +89,7 @@
         """Send the crashing request to the instances in turn; return the statuses."""
         statuses = []
         for instance in itertools.islice(itertools.cycle(instances), times):
-            await site.has_target_up(instance)
+            await site.wait_for_target(instance)
             call = site.call("/once/", instance=instance, body=CRASHING)
             statuses.append((await call)[0])
         return statuses
@@ -153,7 +153,7 @@
     async def test_retries_by_an_instance_count_as_well(self, site):
         await site.start_pool(instances=1)
         for _ in range(3):
-            await site.has_target_up(0)
+            await site.wait_for_target(0)
             await site.call("/safe/", body=CRASHING)
         assert site.crashes <= 3
 
@@ -164,13 +164,13 @@
         await site.start_pool(instances=1)
         bodies = [b"sound %d" % n for n in range(4)]
         for _ in range(5):
-            await site.has_target_up(0)
+            await site.wait_for_target(0)
             sound = [site.call("/resume/", body=body) for body in bodies]
             statuses = await asyncio.gather(*sound, self._send_crashing(site))
             assert set(statuses[-1:]) <= {502, 503}
         assert site.instances[0].quarantine.quarantined == 1
         for body in bodies:
-            await site.has_target_up(0)
+            await site.wait_for_target(0)
             assert (await site.call("/resume/", body=body))[0] == 200
 
     async def _send_crashing(self, site):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -28,9 +28,8 @@
                 await cluster.apply(files, drained=["service-0"])
             else:
                 await cluster.control("service-0", leaving=True)
-            await asyncio.sleep(
-                3.2
-            )  # bound within which a leaving target must be avoided
+            # The bound within which a leaving target must be avoided.
+            await asyncio.sleep(3.2)
             seen = len(replies)
             await until(lambda: len(replies) > seen + 30)
             stop.set()
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -111,24 +111,24 @@
 class TestInstanceWithoutStore:
     """The instance cannot reach the store; its own targets are of the previous era."""
 
-    async def _cut_off(self, watched):  # noqa: F811
+    async def _disconnect_from_store(self, watched):  # noqa: F811
         await _raise_revisions(watched)
         old = watched.targets["t1"]
         watched.catalog.tell(Follow(False))
         return old
 
     async def _receive(self, watched, target):  # noqa: F811
-        news = TargetNews((Change("t1", target, target.revision),))
-        watched.catalog.tell(news)
+        update = TargetNews((Change("t1", target, target.revision),))
+        watched.catalog.tell(update)
 
     async def test_peers_states_are_applied(self, watched):  # noqa: F811
-        old = await self._cut_off(watched)
-        written_again = replace(old, slots=5, revision=join_revision(2, 4))
-        await self._receive(watched, written_again)
+        old = await self._disconnect_from_store(watched)
+        rewritten = replace(old, slots=5, revision=join_revision(2, 4))
+        await self._receive(watched, rewritten)
         await watched.until(lambda: watched.targets["t1"].slots == 5)
 
     async def test_late_states_of_the_previous_era_are_ignored(self, watched):  # noqa: F811
-        old = await self._cut_off(watched)
+        old = await self._disconnect_from_store(watched)
         leaving = replace(old, leaving=True, revision=join_revision(2, 4))
         await self._receive(watched, leaving)
         await watched.until(lambda: watched.targets["t1"].leaving)
@@ -192,7 +192,7 @@
         await site.start_pool(instances=1)
         snapshot = site.store.copy()
         for _ in range(4):
-            await site.has_target_up(0)
+            await site.wait_for_target(0)
             await site.call("/once/", body=CRASHING)
         await self._until_stored(site, "hibiscusstep-suspects", "requests")
         site.store.restore(snapshot)
