--- a/hibiscusstep/forwarding/reach.py
+++ b/hibiscusstep/forwarding/reach.py
@@ -11,7 +11,7 @@
 PEER_COUNT_LIFETIME_S = FORGET_DOUBT_S
 STORE_COUNT_LIFETIME_S = 16.0
 # Time in which a new instance discovers all live and reachable peers.
-MEET_S = 1.0
+DISCOVERY_S = 1.0
 
 
 class Reach:
@@ -54,7 +54,7 @@
 
     def silent(self, now: float) -> int:
         """Return how many unreachable instances may be alive and use their share."""
-        if now - self._started_at < MEET_S or now >= self._reported_until:
+        if now - self._started_at < DISCOVERY_S or now >= self._reported_until:
             return self._view.silent
         return max(self._view.silent, self._reported_count - self._view.size)
 
--- a/hibiscusstep/platform/documents.py
+++ b/hibiscusstep/platform/documents.py
@@ -61,7 +61,7 @@
     return table_of(spec)
 
 
-def table_from_bytes(value: bytes) -> RoutingTable:
+def decode_table_bytes(value: bytes) -> RoutingTable:
     """Return the configuration that a peer sent.
 
     Raises
--- a/hibiscusstep/platform/surroundings.py
+++ b/hibiscusstep/platform/surroundings.py
@@ -19,8 +19,8 @@
     TARGET_KIND,
     decode_rollout,
     decode_table,
+    decode_table_bytes,
     decode_target,
-    table_from_bytes,
 )
 from hibiscusstep.platform.headers import PlatformDialect
 from hibiscusstep.platform.settings import load_platform_settings
@@ -74,7 +74,7 @@
             client, ObjectFeed(client, ROLLOUT_KIND, decode_rollout)
         ),
         register=lambda: roster.register(record),
-        read_table=table_from_bytes,
+        read_table=decode_table_bytes,
         read_bounds=lambda: load_platform_settings(path).bounds,
         on_store_restored=client.eras.set_on_restored,
         close=client.close,
