--- a/hibiscusstep/rollout/__init__.py
+++ b/hibiscusstep/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""hibiscusstep.rollout: a pool's traffic moves to another version of its targets."""
+"""hibiscusstep.rollout: gradual move of a pool's traffic to a new version."""
--- a/hibiscusstep/rollout/answer_times.py
+++ b/hibiscusstep/rollout/answer_times.py
@@ -1,7 +1,7 @@
-"""hibiscusstep.rollout.answer_times: how long answers take, by route and target.
+"""hibiscusstep.rollout.answer_times: answer times by route and target.
 
-All times are ratios: against what was expected of a target of slowness 1, then against
-what answers of the route take, then against the fast answers of their target.
+All times are ratios: first to the time expected of a target of slowness 1, then to the
+mean of the route, then to the fast answers of the same target.
 """
 
 import math
@@ -10,73 +10,76 @@
 
 from sortedcontainers import SortedList
 
-__all__ = ["AnswerTimes", "Measured"]
+__all__ = ["AnswerTimes", "RelativeTime"]
 
-# A slow answer is supposed to take so many times as long. One answer is no more
-# evidence than this, as a logarithm: a few take long in any version.
+# Assumed ratio of the time of a slow answer to that of a normal one. The log-likelihood
+# ratio of one answer is limited, since a few answers take long in any version.
 SLOW_FACTOR = 4.0
-MOST_FROM_ONE = 1.5
-# Spread of the logarithm of an answer's time over that of its target's fast ones, at
-# first and at the least, and the least weight of a new answer in it.
-FIRST_SPREAD, LEAST_SPREAD, SPREAD_LEARN = 0.6, 0.35, 0.005
-# Variance of what the fast ones take, against that of one answer, times their number.
+MAX_LOG_RATIO = 1.5
+# Standard deviation of the log of an answer's time relative to its target's fast ones:
+# initial value and minimum; and the minimum weight of a new answer in it.
+INITIAL_SPREAD, MIN_SPREAD, MIN_SPREAD_WEIGHT = 0.6, 0.35, 0.005
+# Variance of the estimated time of fast answers, relative to the variance of one
+# answer, times the number of answers in the estimate.
 FAST_VARIANCE = 1.2
-# As many answers are taken as observed with the first spread.
-FIRST_COUNT = 10
-# Answers of a target that tell how long its fast ones take, the least number, and the
-# seconds since the first: of those that began together the fast ones end first.
-REMEMBERED, FEWEST, FEWEST_S = 200, 6, 1.0
-# Most answers may be slow: the fast ones are those of this part.
-FAST_PART = 0.1
-# Weight of an answer in how long those of its route take, and the least number.
-ROUTE_LEARN, ROUTE_FEWEST = 0.02, 10
-# With fewer answers of a route the spread of all routes counts.
-SPREAD_FEWEST = 30
+# Weight, in answers, of the initial spread.
+INITIAL_SPREAD_COUNT = 10
+# Answers kept per target to estimate the time of its fast ones, their minimum number,
+# and the minimum seconds since the first: of answers that began together, the fast ones
+# end first.
+MAX_KEPT_RATIOS, MIN_RATIOS, MIN_RATIO_SPAN_S = 200, 6, 1.0
+# Quantile that stands for the fast answers; low, since most answers may be slow.
+FAST_QUANTILE = 0.1
+# Minimum weight of an answer in the mean time of its route, and the minimum number of
+# answers for a known mean.
+MIN_ROUTE_WEIGHT, MIN_ROUTE_ANSWERS = 0.02, 10
+# With fewer answers of a route, the distribution of all routes is used.
+MIN_DISTRIBUTION_ANSWERS = 30
 
 
 @dataclass(frozen=True, slots=True)
-class Measured:
-    """An answer's time over that of fast ones at its target.
+class RelativeTime:
+    """An answer's time relative to the fast answers of its target.
 
     Parameters
     ----------
     log_time : float
-        Its natural logarithm.
+        Natural logarithm of the ratio.
     among : int
-        How many answers tell what fast ones take.
+        Number of answers behind the estimate of the fast ones.
     """
 
     log_time: float
     among: int
 
 
-class _Spread:
-    """Log-normal times of the version in force, over those of its fast answers."""
+class _TimeDistribution:
+    """Log-normal distribution of the current version's relative answer times."""
 
     def __init__(self) -> None:
-        self._mean = FIRST_SPREAD
-        self._square = FIRST_SPREAD**2
+        self._mean = INITIAL_SPREAD
+        self._square = INITIAL_SPREAD**2
         self.count = 0
 
     def add(self, log_time: float) -> None:
         self.count += 1
-        weight = max(SPREAD_LEARN, 1 / (FIRST_COUNT + self.count))
-        off = log_time - self._mean
-        self._mean += weight * off
-        self._square += weight * (off**2 - self._square)
-
-    def log_ratio(self, measured: Measured, part: float) -> float:
-        """Return the logarithm of how much likelier a time is if a part is slow."""
-        variance = max(LEAST_SPREAD**2, self._square)
-        variance *= 1 + FAST_VARIANCE / measured.among
+        weight = max(MIN_SPREAD_WEIGHT, 1 / (INITIAL_SPREAD_COUNT + self.count))
+        deviation = log_time - self._mean
+        self._mean += weight * deviation
+        self._square += weight * (deviation**2 - self._square)
+
+    def log_ratio(self, relative: RelativeTime, excess: float) -> float:
+        """Return the log-likelihood ratio of a time if a share of answers is slow."""
+        variance = max(MIN_SPREAD**2, self._square)
+        variance *= 1 + FAST_VARIANCE / relative.among
         shift = math.log(SLOW_FACTOR)
-        power = shift * (measured.log_time - self._mean - shift / 2) / variance
+        power = shift * (relative.log_time - self._mean - shift / 2) / variance
         slow = math.exp(min(power, 50.0))
-        return min(MOST_FROM_ONE, math.log(1 - part + part * slow))
+        return min(MAX_LOG_RATIO, math.log(1 - excess + excess * slow))
 
 
-class _Typical:
-    """How long a route's answers take in the version in force, as a mean logarithm."""
+class _RouteMean:
+    """Geometric mean of the current version's answer times on a route."""
 
     def __init__(self) -> None:
         self._mean = 0.0
@@ -84,17 +87,17 @@
 
     @property
     def ratio(self) -> float:
-        """Against what was expected; 0 if not known."""
-        return math.exp(self._mean) if self._count >= ROUTE_FEWEST else 0.0
+        """Mean ratio to the expected time; 0 if not known."""
+        return math.exp(self._mean) if self._count >= MIN_ROUTE_ANSWERS else 0.0
 
     def add(self, ratio: float) -> None:
         self._count += 1
-        weight = max(ROUTE_LEARN, 1 / self._count)
+        weight = max(MIN_ROUTE_WEIGHT, 1 / self._count)
         self._mean += weight * (math.log(ratio) - self._mean)
 
 
-class _Fast:
-    """What a target's fast answers take, against what was expected."""
+class _FastAnswers:
+    """Estimate of the time that a target's fast answers take."""
 
     def __init__(self) -> None:
         self._ratios: deque[float] = deque()
@@ -102,7 +105,7 @@
         self._first = math.inf
 
     def is_known(self, now: float) -> bool:
-        return len(self._ratios) >= FEWEST and now >= self._first + FEWEST_S
+        return len(self._ratios) >= MIN_RATIOS and now >= self._first + MIN_RATIO_SPAN_S
 
     @property
     def count(self) -> int:
@@ -110,39 +113,44 @@
 
     @property
     def ratio(self) -> float:
-        return self._ordered[int(FAST_PART * len(self._ordered))]
+        return self._ordered[int(FAST_QUANTILE * len(self._ordered))]
 
     def add(self, ratio: float, now: float) -> None:
         self._first = min(self._first, now)
         self._ratios.append(ratio)
         self._ordered.add(ratio)
-        if len(self._ratios) > REMEMBERED:
+        if len(self._ratios) > MAX_KEPT_RATIOS:
             self._ordered.remove(self._ratios.popleft())
 
 
 class AnswerTimes:
-    """Compares the times of answers with those of the version in force."""
+    """Comparison of answer times with those of the current version."""
 
     def __init__(self) -> None:
-        self._typical: dict[str, _Typical] = defaultdict(_Typical)
-        # By target, and apart by whether it was loaded: what runs beside others is
-        # slower, so answers are compared with their like once there are enough.
-        self._fast: dict[str, _Fast] = defaultdict(_Fast)
-        self._fast_alike: dict[tuple[str, bool], _Fast] = defaultdict(_Fast)
-        self._spreads: dict[str, _Spread] = defaultdict(_Spread)
-        self._all = _Spread()
-        self._loaded = _Spread()
-        self._admits = True
-
-    def admit_no_more(self, now: float) -> None:
-        """Compare no answers of targets that are not known by now.
-
-        Where many targets begin at once, the answers that have ended are the fast ones.
+        self._route_means: dict[str, _RouteMean] = defaultdict(_RouteMean)
+        # By target, and by target and load: concurrent requests slow each other down,
+        # so answers are compared with those under the same load once there are enough.
+        self._fast_by_target: dict[str, _FastAnswers] = defaultdict(_FastAnswers)
+        self._fast_by_load: dict[tuple[str, bool], _FastAnswers] = defaultdict(
+            _FastAnswers
+        )
+        self._route_distributions: dict[str, _TimeDistribution] = defaultdict(
+            _TimeDistribution
+        )
+        self._pool_distribution = _TimeDistribution()
+        self._loaded_distribution = _TimeDistribution()
+        self._accepts_targets = True
+
+    def stop_accepting_targets(self, now: float) -> None:
+        """Ignore from now on the answer times of targets without a known estimate.
+
+        When many targets start at once, the first answers to end are the fast ones and
+        would bias the estimate.
         """
-        if not self._admits:
+        if not self._accepts_targets:
             return
-        self._admits = False
-        for known in (self._fast, self._fast_alike):
+        self._accepts_targets = False
+        for known in (self._fast_by_target, self._fast_by_load):
             for key in [key for key, fast in known.items() if not fast.is_known(now)]:
                 del known[key]
 
@@ -153,73 +161,81 @@
         ratio: float,
         *,
         loaded: bool,
-        learns: bool,
+        is_baseline: bool,
         is_whole: bool,
         now: float,
-    ) -> Measured | None:
-        """Return an answer's time over that of fast ones there; None if not known.
+    ) -> RelativeTime | None:
+        """Return an answer's time relative to fast ones there; None if not known.
 
         Parameters
         ----------
         target, route : str
-            Where it was answered, and by which route it came.
+            Target and route of the request.
         ratio : float
-            Its time against that of a target of slowness 1.
+            Ratio of its time to that expected of a target of slowness 1.
         loaded : bool
             Whether most slots of the target were taken when it was granted.
-        learns : bool
-            Whether it tells how long the route's answers take: one of the version in
-            force does.
+        is_baseline : bool
+            Whether the answer is one of the current version; only these determine the
+            route's mean.
         is_whole : bool
-            Whether it came to its end.
+            Whether the answer was complete.
         now : float
             Seconds on the dispatcher's clock.
         """
         if ratio <= 0:
             return None
-        typical = self._typical[route]
-        known = typical.ratio
-        if learns and is_whole:
-            typical.add(ratio)
+        mean = self._route_means[route]
+        known = mean.ratio
+        if is_baseline and is_whole:
+            mean.add(ratio)
         if not known:
             return None
         if is_whole:
-            self._learn_fast(target, loaded, ratio / known, now)
-        fast = self._fast_alike.get((target, loaded))
+            self._add_to_fast(target, loaded, ratio / known, now)
+        fast = self._fast_by_load.get((target, loaded))
         if fast is None or not fast.is_known(now):
-            fast = self._fast.get(target)
+            fast = self._fast_by_target.get(target)
         if fast is None or not fast.is_known(now):
             return None
-        return Measured(math.log(ratio / known / fast.ratio), fast.count)
+        return RelativeTime(math.log(ratio / known / fast.ratio), fast.count)
 
-    def _learn_fast(self, target: str, loaded: bool, ratio: float, now: float) -> None:
-        """Learn from an answer what fast ones take at its target."""
-        for fasts, key in (
-            (self._fast, target),
-            (self._fast_alike, (target, loaded)),
+    def _add_to_fast(self, target: str, loaded: bool, ratio: float, now: float) -> None:
+        """Update the estimates of a target's fast answers."""
+        for estimates, key in (
+            (self._fast_by_target, target),
+            (self._fast_by_load, (target, loaded)),
         ):
-            if self._admits or key in fasts:
-                fasts[key].add(ratio, now)
-
-    def learn_spread(self, route: str, measured: Measured, loaded: bool) -> None:
-        """Take an answer of the version in force."""
-        self._spreads[route].add(measured.log_time)
-        self._all.add(measured.log_time)
+            if self._accepts_targets or key in estimates:
+                estimates[key].add(ratio, now)
+
+    def add_to_distribution(
+        self, route: str, relative: RelativeTime, loaded: bool
+    ) -> None:
+        """Add an answer of the current version to the distributions."""
+        self._route_distributions[route].add(relative.log_time)
+        self._pool_distribution.add(relative.log_time)
         if loaded:
-            self._loaded.add(measured.log_time)
+            self._loaded_distribution.add(relative.log_time)
 
     def log_ratio(
-        self, route: str, measured: Measured, part: float, loaded: bool = False
+        self, route: str, relative: RelativeTime, excess: float, loaded: bool = False
     ) -> float:
-        """Return the logarithm of how much likelier a time is if a part is slow."""
-        own = self._loaded if loaded else self._spreads[route]
-        spread = own if own.count >= SPREAD_FEWEST else self._all
-        return spread.log_ratio(measured, part)
+        """Return the log-likelihood ratio of a time if a share of answers is slow."""
+        own = self._loaded_distribution if loaded else self._route_distributions[route]
+        distribution = (
+            own if own.count >= MIN_DISTRIBUTION_ANSWERS else self._pool_distribution
+        )
+        return distribution.log_ratio(relative, excess)
 
-    def is_slow(self, route: str, measured: Measured) -> bool:
-        """Whether an answer is likelier slow than not, if half of them are."""
-        return self.log_ratio(route, measured, 0.5) > 0
+    def is_slow(self, route: str, relative: RelativeTime) -> bool:
+        """Whether an answer is likelier slow than not, if half of all are slow."""
+        return self.log_ratio(route, relative, 0.5) > 0
 
     def fast_ratios(self, now: float) -> dict[str, float]:
-        """Return what the fast answers of each target that is known take."""
-        return {name: f.ratio for name, f in self._fast.items() if f.is_known(now)}
+        """Return the time ratio of fast answers, by target with a known estimate."""
+        return {
+            name: fast.ratio
+            for name, fast in self._fast_by_target.items()
+            if fast.is_known(now)
+        }
--- a/hibiscusstep/rollout/budget.py
+++ b/hibiscusstep/rollout/budget.py
@@ -1,30 +1,29 @@
-"""hibiscusstep.rollout.budget: how many requests an unproved version may get."""
+"""hibiscusstep.rollout.budget: limit on the requests sent to an unproven version."""
 
 from dataclasses import dataclass
 
 __all__ = ["ExposureBudget", "ExposureLimits"]
 
-# Of what a version may get until its deadline, the canary phase uses this part; the
-# rest pays for the move of all traffic just before the deadline, when the version may
-# still turn out to be bad.
-CANARY_PART = 0.6
-# Part of the allowance beside the share that is used: two dispatchers on both sides of
-# a cut may each use it.
-SLACK_PART = 0.5
-# Requests that may be on their way without being counted here yet.
-IN_FLIGHT = 5.0
+# Share of the budget that the canary phase may use. The rest is for the full-traffic
+# phase just before the deadline, when the version may still turn out to be bad.
+CANARY_SHARE = 0.6
+# Share of the fixed allowance that one dispatcher uses: during a network partition
+# there may be two dispatchers, and each uses it.
+SLACK_SHARE = 0.5
+# Requests that may be in flight without being counted yet.
+MAX_UNCOUNTED_REQUESTS = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class ExposureLimits:
-    """Bounds on what a bad version may get.
+    """Limits on the requests that a bad version may receive.
 
     Parameters
     ----------
     share : float
-        Of all requests to the pool from the order to its deadline.
+        Share of all requests to the pool from the order to its deadline.
     slack : float
-        Requests beside that.
+        Fixed allowance of requests in addition.
     """
 
     share: float = 0.1
@@ -33,45 +32,52 @@
 
 @dataclass(slots=True)
 class ExposureBudget:
-    """Counts requests since an order, and those that its version got.
+    """Counters of the requests since an order and of those sent to its version.
 
-    Requests that are still to come are not counted on, so the bound holds at any
-    moment and not only at the deadline.
+    Future requests are not anticipated, so the limit holds at any moment and not only
+    at the deadline.
 
     Parameters
     ----------
     limits : ExposureLimits
-        The bounds.
+        The limits.
     requests, exposed : int
-        Requests to the pool since the order, and those of them that the version got.
+        Requests to the pool since the order, and those of them sent to the new version.
     slack_part : float
-        Of the allowance beside the share; 0 where it is not known what was used of it.
+        Share of the fixed allowance that may be used; 0 if it is not known how much of
+        it has been used already.
     """
 
     limits: ExposureLimits
     requests: int = 0
     exposed: int = 0
-    slack_part: float = SLACK_PART
+    slack_part: float = SLACK_SHARE
 
-    def count(self, exposed: bool) -> None:
+    def count_request(self, exposed: bool) -> None:
         """Count a request."""
         self.requests += 1
         self.exposed += exposed
 
     @property
-    def left(self) -> float:
-        """Requests that the version may still get."""
-        slack = max(0.0, self.slack_part * self.limits.slack - IN_FLIGHT)
+    def remaining(self) -> float:
+        """Requests that the new version may still receive."""
+        slack = max(0.0, self.slack_part * self.limits.slack - MAX_UNCOUNTED_REQUESTS)
         return self.limits.share * self.requests + slack - self.exposed
 
     @property
-    def canary_left(self) -> float:
-        """Requests that it may still get before all traffic moves."""
-        allowed = self.left + self.exposed
-        return CANARY_PART * allowed - self.exposed
-
-    def seconds_of_all(self, rate: float) -> float:
-        """Return for how long the version may get all of so many requests a second."""
+    def canary_remaining(self) -> float:
+        """Requests that the new version may still receive in the canary phase."""
+        allowed = self.remaining + self.exposed
+        return CANARY_SHARE * allowed - self.exposed
+
+    def full_traffic_seconds(self, rate: float) -> float:
+        """Return for how long the new version may receive all traffic.
+
+        Parameters
+        ----------
+        rate : float
+            Requests per second to the pool.
+        """
         if rate <= 0:
             return 0.0
-        return max(0.0, self.left) / (rate * (1 - self.limits.share))
+        return max(0.0, self.remaining) / (rate * (1 - self.limits.share))
--- a/hibiscusstep/rollout/controller.py
+++ b/hibiscusstep/rollout/controller.py
@@ -1,60 +1,62 @@
-"""hibiscusstep.rollout.controller: carries one order out, as a pool's dispatcher."""
+"""hibiscusstep.rollout.controller: execution of a rollout order by a dispatcher."""
 
 import math
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from hibiscusstep.rollout.budget import SLACK_PART, ExposureBudget, ExposureLimits
+from hibiscusstep.rollout.budget import SLACK_SHARE, ExposureBudget, ExposureLimits
 from hibiscusstep.rollout.comparison import VersionComparison
 from hibiscusstep.rollout.order import RolloutState
 
 __all__ = ["PlannedRollout", "Rollout", "RolloutProgress"]
 
-# A version is proved only by so many answers, whatever they say.
-FEWEST_ANSWERS = 10
-# After so many a dispatcher goes by what it has seen itself, not by the one before.
-FEWEST_OWN_ANSWERS = 5
-# With this part of the evidence that rolls a version back, seen by a dispatcher before,
-# it does not get all traffic.
-DOUBTFUL_EVIDENCE = 0.8
-# Of a dispatcher before that had so many, it is known that they were compared.
-ENOUGH_BEFORE = 20
-# Requests that the canary phase saves up: a target runs full for a while, which shows
-# what happens only under load. In a pool that saves them up slowly they are fewer, so
-# that answers come until the end.
-BURST, LEAST_BURST = 24.0, 4.0
-# Requests of the canary phase at once, and so many more a second: others would not show
-# a bad version sooner, they would only harm more callers.
-FIRST_REQUESTS, CANARY_RATE = 24, 20.0
-# Nor does all traffic for longer than this.
-MOST_MOVE_S = 2.0
-# The rate of requests is an average over so many seconds.
-RATE_SPAN_S = 2.0
-# The version gets hardly any requests before their answers can be compared with others,
-# but for the last seconds: a pool may be too quiet for that.
-LATE_S = 4.0
-# So many targets of the version are tried at the most, and another one comes first
-# after so long. The next is tried once so many requests went to the version: answers
-# of a target are compared with those that it gave before.
-CANARY_TARGETS = 3
-REQUESTS_BEFORE_NEXT = 12
-ROTATE_S = 3.0
+# Minimum number of answers of the new version before it is completed.
+MIN_ANSWERS = 10
+# With this many own answers a dispatcher relies on its own evidence instead of that of
+# the previous dispatcher.
+MIN_OWN_ANSWERS = 5
+# A version with this part of the evidence that rejects it does not receive all traffic.
+SUSPICIOUS_EVIDENCE = 0.8
+# If previous dispatchers had this many answers, enough of them were compared.
+MIN_PREVIOUS_ANSWERS = 20
+# Budget, in requests, that the canary phase saves up before it sends any: a burst fills
+# a target, which reveals faults that occur only under load. Where the budget grows
+# slowly, bursts are smaller, so that answers arrive until the end.
+MAX_BURST, MIN_BURST = 24.0, 4.0
+# Canary requests at the start, and additional ones per second. More would not reveal a
+# bad version sooner but only affect more callers.
+INITIAL_CANARY_REQUESTS, CANARY_REQUESTS_PER_S = 24, 20.0
+# Maximum seconds of full traffic before the deadline, for the same reason.
+MAX_FULL_TRAFFIC_S = 2.0
+# Seconds over which the request rate is averaged.
+RATE_WINDOW_S = 2.0
+# The new version receives hardly any requests before there are enough answers of the
+# current one to compare with, except in these last seconds: a quiet pool may never have
+# enough.
+FINAL_CANARY_S = 4.0
+# Maximum number of canary targets, of which another one comes first every few seconds.
+# Each further one is used after this many requests to the version, since the answers of
+# a target are compared with its own earlier ones.
+MAX_CANARY_TARGETS = 3
+REQUESTS_PER_CANARY_TARGET = 12
+CANARY_ROTATION_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutProgress:
-    """How far an order has been carried out, for whoever goes on with it.
+    """Progress of an order, for the dispatcher that continues it.
 
     Parameters
     ----------
     requests, exposed : int
-        Requests to the pool since the order, and those of them that the version got.
+        Requests to the pool since the order, and those of them sent to the new version.
     answers : int
-        Answers of the version.
+        Answers of the new version.
     is_known : bool
-        Whether these are all; else some of a dispatcher that is gone are missing.
+        Whether the counts are complete; otherwise some of a previous dispatcher are
+        missing.
     evidence : float
-        That the version is worse, 1 for as much as is needed to roll it back.
+        Evidence that the new version is worse; at 1 it is rejected.
     """
 
     requests: int = 0
@@ -71,19 +73,19 @@
     Parameters
     ----------
     version : str
-        To which the traffic moves.
+        The version that is to receive all traffic.
     number : int
-        Tells the order from others to the same version.
+        Identifies the order among those to the same version.
     deadline : float
-        When it should be completed, on the dispatcher's clock.
+        Time by which it is to be completed, on the dispatcher's clock.
     lead : float
-        Seconds before that at which the completion has to be written.
+        Seconds before the deadline at which the completion has to be written.
     is_in_force : bool
-        Whether the version is the one that serves already.
+        Whether the version is already the current one.
     limits : ExposureLimits
-        What the version may get while it is not proved.
+        Limits on the requests to the version while it is not proven.
     progress : RolloutProgress
-        What was done before this dispatcher took over.
+        Progress before this dispatcher took over.
     test : str
         Name of the sequential test that compares the versions.
     """
@@ -99,12 +101,12 @@
 
 
 class Rollout:
-    """Decides which requests the new version gets, and what becomes of it.
+    """Decides which requests the new version receives and how the order ends.
 
-    First a few of its targets get some requests (canary). Just before the deadline it
-    gets all, as late and as many as the exposure limits allow should it be bad after
-    all; what still runs at the other targets ends meanwhile, since they are stopped on
-    completion.
+    In the canary phase a few of its targets receive some requests. Just before the
+    deadline it receives all traffic, as late as needed for the exposure limits to hold
+    even if the version turns out to be bad. Meanwhile the requests at the other targets
+    end, since those targets are stopped on completion.
 
     Parameters
     ----------
@@ -114,17 +116,17 @@
     Attributes
     ----------
     comparison : VersionComparison
-        Of both versions' answers.
+        Comparison of both versions' answers.
     verdict : RolloutState or None
-        What was decided.
+        Final state of the order; None while it is undecided.
     reason : str
-        Why.
+        Reason for the verdict.
     """
 
     def __init__(self, planned: PlannedRollout) -> None:
         self._planned = planned
         before = planned.progress
-        slack_part = SLACK_PART if before.is_known else 0.0
+        slack_part = SLACK_SHARE if before.is_known else 0.0
         self._budget = ExposureBudget(
             planned.limits, before.requests, before.exposed, slack_part
         )
@@ -133,11 +135,12 @@
         self._rate = 0.0
         self._rate_at: float | None = None
         self._requests_at_rate = before.requests
-        self._open = False
-        self._moves = False
-        # Since when answers are compared, and for how long; None before.
-        self._compared_from = math.inf
-        self._compared_s: float | None = None
+        self._canary_open = False
+        self._full_traffic = False
+        # Since when, and for how many seconds, answers have been comparable; None if
+        # they are not yet.
+        self._comparable_since = math.inf
+        self._comparable_s: float | None = None
         self.comparison = VersionComparison(planned.test)
         self.verdict: RolloutState | None = None
         self.reason = ""
@@ -149,12 +152,12 @@
 
     @property
     def moves_all(self) -> bool:
-        """Whether all traffic moves to the version now."""
-        return self._moves and self.verdict is not RolloutState.ROLLED_BACK
+        """Whether the new version receives all traffic now."""
+        return self._full_traffic and self.verdict is not RolloutState.ROLLED_BACK
 
     @property
     def progress(self) -> RolloutProgress:
-        """What was done so far."""
+        """The progress so far, including that of previous dispatchers."""
         budget = self._budget
         known = self._planned.progress.is_known
         return RolloutProgress(
@@ -163,104 +166,110 @@
 
     @property
     def _evidence(self) -> float:
-        """What was seen here; with too little, what was seen before."""
-        if self.comparison.answers >= FEWEST_OWN_ANSWERS:
+        """Own evidence; with too few answers, also that of previous dispatchers."""
+        if self.comparison.answers >= MIN_OWN_ANSWERS:
             return self.comparison.evidence
         return max(self.comparison.evidence, self._planned.progress.evidence)
 
     @property
     def answers(self) -> int:
-        """Answers of the version, those before this dispatcher among them."""
+        """Answers of the new version, including those to previous dispatchers."""
         return self._answers_before + self.comparison.answers
 
     @property
     def summary(self) -> dict:
-        """The state in short, for the log."""
+        """Summary of the state, for the log."""
         comparison, budget = self.comparison, self._budget
         return {
-            "phase": self.verdict or ("moving" if self._moves else "canary"),
+            "phase": self.verdict or ("moving" if self._full_traffic else "canary"),
             "requests": budget.requests,
             "exposed": budget.exposed,
-            "may_get": round(budget.left, 1),
+            "may_get": round(budget.remaining, 1),
             "answers": self.answers,
             "bad": comparison.bad,
             "evidence": round(comparison.evidence, 2),
-            "faulty": sorted(comparison.faulty),
+            "faulty": sorted(comparison.faulty_targets),
         }
 
     def replan(self, planned: PlannedRollout) -> None:
-        """Take the same order as it is known now."""
+        """Update the data of the same order."""
         self._planned = planned
 
     def count(self, exposed: bool) -> None:
         """Count a request that was granted a target."""
-        self._budget.count(exposed)
+        self._budget.count_request(exposed)
 
     def may_expose(self) -> bool:
-        """Whether the version may get the next request."""
+        """Whether the new version may receive the next request."""
         if self.verdict is RolloutState.ROLLED_BACK:
             return False
-        if self._moves:
+        if self._full_traffic:
             return True
-        left = min(self._budget.canary_left, self._left_by_rate)
-        if left < 1.0:
-            self._open = False
-        elif left >= self._burst or not self._budget.exposed:
-            self._open = True
-        return self._open
+        remaining = min(self._budget.canary_remaining, self._remaining_by_rate)
+        if remaining < 1.0:
+            self._canary_open = False
+        elif remaining >= self._burst or not self._budget.exposed:
+            self._canary_open = True
+        return self._canary_open
 
     @property
-    def _left_by_rate(self) -> float:
-        """Requests that the version may get now in the canary phase, by their rate."""
+    def _remaining_by_rate(self) -> float:
+        """Canary requests that the rate limit permits now."""
         exposed = self._budget.exposed - self._exposed_before
-        if self._compared_s is None:
-            return LEAST_BURST - exposed
-        return FIRST_REQUESTS + CANARY_RATE * self._compared_s - exposed
+        if self._comparable_s is None:
+            return MIN_BURST - exposed
+        return (
+            INITIAL_CANARY_REQUESTS
+            + CANARY_REQUESTS_PER_S * self._comparable_s
+            - exposed
+        )
 
     @property
     def _burst(self) -> float:
         """Requests to save up; fewer in a pool that saves them up slowly."""
-        return min(BURST, max(LEAST_BURST, self._budget.exposed / 4))
+        return min(MAX_BURST, max(MIN_BURST, self._budget.exposed / 4))
 
     def tried(self, names: Iterable[str], now: float) -> list[str]:
-        """Return the targets that are tried; the first one runs full, then the next.
+        """Return the canary targets in order of preference.
 
-        Few are tried, so that something is known of each, and in turn. One that is at
-        fault by itself is replaced.
+        Only a few are used, in rotation, so that each has enough answers. Faulty
+        targets are replaced.
         """
-        sound = sorted(name for name in names if name not in self.comparison.faulty)
-        count = 1 + self._budget.exposed // REQUESTS_BEFORE_NEXT
-        tried = sound[: min(count, CANARY_TARGETS)]
-        shift = int(now / ROTATE_S) % len(tried) if tried else 0
-        return tried[shift:] + tried[:shift]
+        sound = sorted(
+            name for name in names if name not in self.comparison.faulty_targets
+        )
+        count = 1 + self._budget.exposed // REQUESTS_PER_CANARY_TARGET
+        canaries = sound[: min(count, MAX_CANARY_TARGETS)]
+        shift = int(now / CANARY_ROTATION_S) % len(canaries) if canaries else 0
+        return canaries[shift:] + canaries[:shift]
 
     def tick(self, targets: int, now: float) -> None:
-        """Decide what is a matter of time.
+        """Make the decisions that depend on time.
 
         Parameters
         ----------
         targets : int
-            Targets of the version that may be used.
+            Number of usable targets of the new version.
         now : float
             Seconds on the dispatcher's clock.
         """
         if self.verdict is not None:
             return
         if self._planned.is_in_force:
-            self._conclude(RolloutState.COMPLETED, "in force already")
+            self._conclude(RolloutState.COMPLETED, "already the current version")
             return
-        self._reckon_rate(now)
-        if reason := self.comparison.judge(targets, now):
+        self._update_rate(now)
+        if reason := self.comparison.rejection_reason(targets, now):
             self._conclude(RolloutState.ROLLED_BACK, reason)
             return
         left = self._planned.deadline - now
-        self._reckon_compared(left, now)
-        if not self._moves and left > self._seconds_to_move:
+        self._update_comparable(left, now)
+        if not self._full_traffic and left > self._full_traffic_s:
             return
-        reason = self._why_not_proved(targets)
-        self._moves = not reason
-        if self._moves:
-            self.comparison.begin_move(now)
+        reason = self._why_not_proven(targets)
+        self._full_traffic = not reason
+        if self._full_traffic:
+            self.comparison.begin_full_traffic(now)
         if left > self._planned.lead:
             return
         if reason:
@@ -268,37 +277,37 @@
         else:
             self._conclude(RolloutState.COMPLETED, f"{self.answers} good answers")
 
-    def _why_not_proved(self, targets: int) -> str:
+    def _why_not_proven(self, targets: int) -> str:
         if not targets:
             return "no targets of the version"
-        if self.answers < FEWEST_ANSWERS:
+        if self.answers < MIN_ANSWERS:
             return f"only {self.answers} answers"
-        if doubt := self.comparison.doubt(targets):
-            return f"doubtful answers: {doubt}"
-        if self._evidence >= DOUBTFUL_EVIDENCE:
-            return "doubtful answers"
-        known_before = self._answers_before >= ENOUGH_BEFORE
-        if not (known_before or self.comparison.has_compared_enough):
+        if suspicion := self.comparison.suspicion(targets):
+            return f"suspicious answers: {suspicion}"
+        if self._evidence >= SUSPICIOUS_EVIDENCE:
+            return "suspicious answers"
+        known_before = self._answers_before >= MIN_PREVIOUS_ANSWERS
+        if not (known_before or self.comparison.has_enough_answers):
             return "too few answers that could be compared"
         return ""
 
     @property
-    def _seconds_to_move(self) -> float:
-        """Seconds before the deadline from which on the version may get all traffic."""
-        seconds = min(MOST_MOVE_S, self._budget.seconds_of_all(self._rate))
+    def _full_traffic_s(self) -> float:
+        """Seconds before the deadline at which full traffic may begin."""
+        seconds = min(MAX_FULL_TRAFFIC_S, self._budget.full_traffic_seconds(self._rate))
         return max(self._planned.lead, seconds)
 
-    def _reckon_compared(self, left: float, now: float) -> None:
-        """Reckon for how long the version's answers can be compared."""
-        if self.comparison.can_begin or left <= LATE_S:
-            self._compared_from = min(self._compared_from, now)
-            self._compared_s = now - self._compared_from
+    def _update_comparable(self, left: float, now: float) -> None:
+        """Update for how long the new version's answers have been comparable."""
+        if self.comparison.has_baseline or left <= FINAL_CANARY_S:
+            self._comparable_since = min(self._comparable_since, now)
+            self._comparable_s = now - self._comparable_since
 
-    def _reckon_rate(self, now: float) -> None:
+    def _update_rate(self, now: float) -> None:
         if self._rate_at is None:
             self._rate_at = now
         passed = now - self._rate_at
-        if passed < RATE_SPAN_S:
+        if passed < RATE_WINDOW_S:
             return
         self._rate = (self._budget.requests - self._requests_at_rate) / passed
         self._rate_at = now
--- a/hibiscusstep/rollout/evidence.py
+++ b/hibiscusstep/rollout/evidence.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.rollout.evidence: what speaks against a version, by route and kind."""
+"""hibiscusstep.rollout.evidence: evidence against a version, by route and symptom."""
 
 from collections import Counter, defaultdict, deque
 from collections.abc import Iterable, Iterator
@@ -6,38 +6,45 @@
 
 from hibiscusstep.rollout.sequential import SequentialTest
 
-__all__ = ["ALL_ROUTES", "EXCESSES", "Evidence", "Fault", "UNDER_LOAD", "WeighedAnswer"]
-
-# How much worse a version is supposed to be, if it is worse: the tests look for each.
-EXCESSES = (0.05, 0.2)
-# Stand for all routes, where what is bad on each shows sooner together, and for all
-# requests that were granted when most slots of their target were taken.
+__all__ = [
+    "ALL_ROUTES",
+    "EXCESS_SHARES",
+    "AnswerEvidence",
+    "Evidence",
+    "Symptom",
+    "UNDER_LOAD",
+]
+
+# Shares of additional bad answers in a bad version; there is one test for each.
+EXCESS_SHARES = (0.05, 0.2)
+# Keys of the tests over all routes, which detect a fault that affects each of them
+# sooner, and over all requests granted when most slots of their target were taken.
 ALL_ROUTES = "all routes"
 UNDER_LOAD = "all routes under load"
-# Answers that are kept: to take those of one target back.
-KEPT_ANSWERS = 400
-# Of each test so many of the latest answers are looked at before a version is taken for
-# sound, and the evidence against it that they may hold, as a natural logarithm: less of
-# all routes together, of which there are more.
-LATEST = 60
-DOUBT, DOUBT_OF_ROUTE = 2.0, 5.0
-# So many answers have to be compared, and the times of so many.
-FEWEST_COMPARED, FEWEST_TIMES = 10, 4
+# Answers kept so that those of one target can be removed from the tests.
+MAX_KEPT_ANSWERS = 400
+# Before full traffic, the sum of the log-likelihood ratios of the most recent answers
+# of each test must not exceed a limit; the limit is lower for the test over all routes,
+# which has more answers.
+RECENT_ANSWERS = 60
+RECENT_LIMIT_ALL_ROUTES, RECENT_LIMIT = 2.0, 5.0
+# Minimum number of answers whose outcomes, and whose times, were compared.
+MIN_COMPARED, MIN_COMPARED_TIMES = 10, 4
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
-    """A way in which answers are worse.
+class Symptom:
+    """A way in which the answers of a version are worse.
 
     Parameters
     ----------
     name : str
-        As reasons tell it.
+        Name in reasons.
     needed : float
-        Evidence that condemns a version, as a natural logarithm.
+        Log-likelihood ratio at which a version is rejected.
     doubts : tuple of float
-        With this part of it, for each excess, a version does not get all traffic. More
-        where a small excess is looked for: its test wanders further by chance.
+        For each excess share, the part of `needed` from which on a version does not
+        receive all traffic. Higher for a small excess, whose test fluctuates more.
     """
 
     name: str
@@ -45,25 +52,28 @@
     doubts: tuple[float, ...]
 
 
-FAILS = Fault("fails", 10.0, (0.8, 0.5))
-# Its distribution is only roughly known, and it shows in fewer answers.
-SLOW = Fault("slow", 13.0, (0.8, 0.25))
+FAILS = Symptom("fails", 10.0, (0.8, 0.5))
+# The distribution of times is only roughly known, so more evidence is needed; fewer
+# answers show it.
+SLOW = Symptom("slow", 13.0, (0.8, 0.25))
 
 
 @dataclass(frozen=True, slots=True)
-class WeighedAnswer:
-    """An answer of the new version, as evidence that the version is worse.
+class AnswerEvidence:
+    """The evidence of one answer that the new version is worse.
 
     Parameters
     ----------
     target : str
-        Where it was answered.
+        The target that answered.
     keys : tuple of str
-        The tests that take it: its route, and those that stand for several.
+        Keys of the tests that the answer belongs to: its route, and those of several
+        routes.
     failures : tuple of float
-        Logarithms of likelihood ratios, for each excess of failures.
+        Log-likelihood ratios of its outcome, for each excess share.
     slowness : tuple of float
-        The same for each excess of slow answers; empty if its time tells nothing.
+        Log-likelihood ratios of its time, for each excess share; empty if the time
+        cannot be compared.
     """
 
     target: str
@@ -72,134 +82,135 @@
     slowness: tuple[float, ...]
 
     @property
-    def ratios(self) -> tuple[tuple[Fault, tuple[float, ...]], ...]:
-        """What it says of each fault; nothing of slowness if its time is not known."""
+    def log_ratios(self) -> tuple[tuple[Symptom, tuple[float, ...]], ...]:
+        """Log-likelihood ratios by symptom; without slowness if the time is unknown."""
         failures = (FAILS, self.failures)
         return (failures, (SLOW, self.slowness)) if self.slowness else (failures,)
 
 
 class Evidence:
-    """Sequential tests of the new version's answers, for each fault and route.
+    """Sequential tests of the new version's answers, for each symptom and route.
 
     Parameters
     ----------
     make_test : callable returning a SequentialTest
-        Makes a test.
+        Creates a test.
     """
 
     def __init__(self, make_test) -> None:
         self._make_test = make_test
-        self._tests: dict[tuple[Fault, str], list[SequentialTest]] = {}
-        self._latest: dict[tuple[Fault, str], deque[float]] = {}
-        self._answers: deque[WeighedAnswer] = deque(maxlen=KEPT_ANSWERS)
-        self._running: list[WeighedAnswer] = []
-        self._compared: Counter[Fault] = Counter()
+        self._tests: dict[tuple[Symptom, str], list[SequentialTest]] = {}
+        self._recent: dict[tuple[Symptom, str], deque[float]] = {}
+        self._answers: deque[AnswerEvidence] = deque(maxlen=MAX_KEPT_ANSWERS)
+        self._running: list[AnswerEvidence] = []
+        self._compared: Counter[Symptom] = Counter()
 
     @property
     def strongest(self) -> float:
-        """The most evidence of a test, 1 where it condemns the version."""
+        """Maximum evidence of all tests; at 1 the version is rejected."""
         parts = [
-            found / fault.needed
-            for (fault, _key), evidence in self._sums().items()
-            for found in evidence
+            value / symptom.needed
+            for (symptom, _key), evidence in self._totals().items()
+            for value in evidence
         ]
         return max(parts, default=0.0)
 
     @property
     def is_enough(self) -> bool:
-        """Whether enough answers were compared to see a version that is bad."""
+        """Whether enough answers were compared to detect a bad version."""
         compared = self._compared
-        return compared[FAILS] >= FEWEST_COMPARED and compared[SLOW] >= FEWEST_TIMES
+        return compared[FAILS] >= MIN_COMPARED and compared[SLOW] >= MIN_COMPARED_TIMES
 
     @property
     def slow_running(self) -> Counter[str]:
-        """How many requests at each target still run and are slow already."""
+        """Number of running requests that are already slow, by target."""
         return Counter(answer.target for answer in self._running)
 
-    def add(self, answer: WeighedAnswer) -> None:
-        """Take an answer that has ended."""
-        self._compared.update(fault for fault, _ratios in answer.ratios)
+    def add(self, answer: AnswerEvidence) -> None:
+        """Add an answer that has ended."""
+        self._compared.update(symptom for symptom, _ratios in answer.log_ratios)
         self._answers.append(answer)
-        self._weigh(answer)
+        self._add_to_tests(answer)
 
-    def take_running(self, answers: Iterable[WeighedAnswer]) -> None:
-        """Take what runs and is slow already, instead of what was taken before."""
+    def replace_running(self, answers: Iterable[AnswerEvidence]) -> None:
+        """Replace the running requests that are already slow."""
         self._running = list(answers)
 
-    def set_aside(self, target: str) -> None:
-        """Take the answers of a target back."""
+    def exclude_target(self, target: str) -> None:
+        """Remove the answers of a target from the tests."""
         self._tests.clear()
-        self._latest.clear()
+        self._recent.clear()
         others = [answer for answer in self._answers if answer.target != target]
-        self._answers = deque(others, maxlen=KEPT_ANSWERS)
+        self._answers = deque(others, maxlen=MAX_KEPT_ANSWERS)
         self._running = [a for a in self._running if a.target != target]
         for answer in others:
-            self._weigh(answer)
+            self._add_to_tests(answer)
 
-    def condemns(self, part: float = 1.0) -> str:
-        """Return what the version is condemned for; empty if for nothing.
+    def rejection_reason(self, part: float = 1.0) -> str:
+        """Return why the version is to be rejected; empty if it is not.
 
         Parameters
         ----------
         part : float
-            Of the evidence that is needed.
+            Part of the usual evidence that is sufficient.
         """
-        found: dict[Fault, list[str]] = defaultdict(list)
-        for (fault, key), evidence in self._sums().items():
-            if max(evidence) >= part * fault.needed:
-                found[fault].append(key)
-        for fault in (FAILS, SLOW):
-            if found[fault]:
-                return f"{fault.name} on {', '.join(sorted(found[fault]))}"
+        found: dict[Symptom, list[str]] = defaultdict(list)
+        for (symptom, key), evidence in self._totals().items():
+            if max(evidence) >= part * symptom.needed:
+                found[symptom].append(key)
+        for symptom in (FAILS, SLOW):
+            if found[symptom]:
+                return f"{symptom.name} on {', '.join(sorted(found[symptom]))}"
         return ""
 
-    def doubt(self) -> str:
-        """Return what hints that the version is worse; empty if nothing does.
+    def suspicion(self) -> str:
+        """Return a sign that the version is worse; empty if there is none.
 
-        What is too little to condemn a version is too much to let it have all traffic.
+        A suspicion is too weak to reject a version, but bars it from all traffic.
         """
-        return next(self._doubts(), "")
+        return next(self._suspicions(), "")
 
-    def _doubts(self) -> Iterator[str]:
-        sums = self._sums()
-        for fault, key in sorted(sums, key=lambda test: (test[0].name, test[1])):
+    def _suspicions(self) -> Iterator[str]:
+        totals = self._totals()
+        for symptom, key in sorted(totals, key=lambda test: (test[0].name, test[1])):
             if any(
-                found >= part * fault.needed
-                for found, part in zip(sums[fault, key], fault.doubts, strict=True)
+                value >= part * symptom.needed
+                for value, part in zip(
+                    totals[symptom, key], symptom.doubts, strict=True
+                )
             ):
-                yield f"{fault.name} on {key}"
-            bound = DOUBT if key == ALL_ROUTES else DOUBT_OF_ROUTE
-            if self._latest_sum(fault, key) > bound:
-                yield f"latest answers: {fault.name} on {key}"
-
-    def _latest_sum(self, fault: Fault, key: str) -> float:
-        """Return the evidence of a test's latest answers, those last that still run."""
-        latest = [*self._latest[fault, key]]
-        if fault is SLOW:
-            latest += [a.slowness[-1] for a in self._running if key in a.keys]
-        return sum(latest[-LATEST:])
-
-    def _weigh(self, answer: WeighedAnswer) -> None:
-        """Add an answer to its tests."""
-        for fault, ratios in answer.ratios:
+                yield f"{symptom.name} on {key}"
+            limit = RECENT_LIMIT_ALL_ROUTES if key == ALL_ROUTES else RECENT_LIMIT
+            if self._recent_sum(symptom, key) > limit:
+                yield f"recent answers: {symptom.name} on {key}"
+
+    def _recent_sum(self, symptom: Symptom, key: str) -> float:
+        """Return the evidence of a test's recent answers, running requests last."""
+        recent = [*self._recent[symptom, key]]
+        if symptom is SLOW:
+            recent += [a.slowness[-1] for a in self._running if key in a.keys]
+        return sum(recent[-RECENT_ANSWERS:])
+
+    def _add_to_tests(self, answer: AnswerEvidence) -> None:
+        for symptom, ratios in answer.log_ratios:
             for key in answer.keys:
-                test = fault, key
+                test = symptom, key
                 if test not in self._tests:
-                    self._tests[test] = [self._make_test() for _ in EXCESSES]
-                    self._latest[test] = deque(maxlen=LATEST)
-                self._latest[test].append(ratios[-1])
+                    self._tests[test] = [self._make_test() for _ in EXCESS_SHARES]
+                    self._recent[test] = deque(maxlen=RECENT_ANSWERS)
+                self._recent[test].append(ratios[-1])
                 for of_excess, ratio in zip(self._tests[test], ratios, strict=True):
                     of_excess.add(ratio)
 
-    def _sums(self) -> dict[tuple[Fault, str], list[float]]:
-        """Return the evidence of each test and excess, with what still runs."""
-        sums = {
+    def _totals(self) -> dict[tuple[Symptom, str], list[float]]:
+        """Return each test's evidence by excess share, including running requests."""
+        totals = {
             test: [of_excess.evidence for of_excess in excesses]
             for test, excesses in self._tests.items()
         }
         for answer in self._running:
             for key in answer.keys:
-                of_key = sums.get((SLOW, key), [])
+                of_key = totals.get((SLOW, key), [])
                 for number, _evidence in enumerate(of_key):
                     of_key[number] += max(0.0, answer.slowness[number])
-        return sums
+        return totals
--- a/hibiscusstep/rollout/failure_rates.py
+++ b/hibiscusstep/rollout/failure_rates.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.rollout.failure_rates: how often the version in force fails."""
+"""hibiscusstep.rollout.failure_rates: failure rates of the current version."""
 
 import math
 from collections import defaultdict
@@ -6,29 +6,30 @@
 
 __all__ = ["FailureRates"]
 
-# Weight that what was observed keeps each second; faults that hit both versions pass.
-KEPT_A_SECOND = 0.93
-FADE_STEP_S = 1.0
-# Standard errors that are added to the rate of bad answers of the version in force.
+# Weight of past answers decays by this factor every second, so that faults which
+# affected both versions are forgotten.
+DECAY_PER_S = 0.93
+DECAY_STEP_S = 1.0
+# Standard errors that are added to the failure rate of the current version.
 RATE_MARGIN = 1.5
-# Answers that are taken as observed with the pool's own rate on a route with few, and
-# in the pool with another one; before there are so many nothing is compared.
+# Weight, in answers, of the prior: the pool's rate for a route, and PRIOR_RATE for the
+# pool. Versions are not compared before the pool has MIN_ANSWERS.
 PRIOR_ANSWERS = 20.0
 PRIOR_RATE = 0.05
-FEWEST_COMPARED = 30.0
-LEAST_RATE, MOST_RATE = 0.004, 0.9
+MIN_ANSWERS = 30.0
+MIN_RATE, MAX_RATE = 0.004, 0.9
 
 
 @dataclass(slots=True)
-class _Rate:
-    """Answers and bad ones of the version in force on a route, fading."""
+class _RouteCounts:
+    """Decaying counts of all and of bad answers of the current version on a route."""
 
     answers: float = 0.0
     bad: float = 0.0
 
-    def fade(self, kept: float) -> None:
-        self.answers *= kept
-        self.bad *= kept
+    def decay(self, factor: float) -> None:
+        self.answers *= factor
+        self.bad *= factor
 
     def add(self, bad: bool) -> None:
         self.answers += 1
@@ -36,53 +37,44 @@
 
 
 class FailureRates:
-    """Answers of the version in force, fading.
-
-    Attributes
-    ----------
-    answers : float
-        How many count.
-    """
+    """Failure rates of the current version by route, with decaying weights."""
 
     def __init__(self) -> None:
-        self._rates: dict[str, _Rate] = defaultdict(_Rate)
-        self._faded = 0.0
+        self._routes: dict[str, _RouteCounts] = defaultdict(_RouteCounts)
+        self._decayed_at = 0.0
 
     @property
     def answers(self) -> float:
-        """Answers that count, of all routes."""
-        return sum(rate.answers for rate in self._rates.values())
+        """Decayed number of answers of all routes."""
+        return sum(counts.answers for counts in self._routes.values())
 
     @property
     def are_known(self) -> bool:
-        """Whether there are enough to compare with."""
-        return self.answers >= FEWEST_COMPARED
+        """Whether there are enough answers for a comparison."""
+        return self.answers >= MIN_ANSWERS
 
     def add(self, route: str, failed: bool, now: float) -> None:
-        """Take an answer."""
-        self._fade(now)
-        self._rates[route].add(failed)
+        """Count an answer."""
+        self._decay(now)
+        self._routes[route].add(failed)
 
     def rate(self, route: str) -> float:
-        """Return the part of answers that fail, cautiously.
+        """Return an upper estimate of a route's failure rate.
 
-        Parameters
-        ----------
-        route : str
-            Of a route with few answers the pool's rate counts as well.
+        On a route with few answers the pool's rate dominates.
         """
-        bad = sum(rate.bad for rate in self._rates.values())
+        bad = sum(counts.bad for counts in self._routes.values())
         pool = (bad + PRIOR_RATE * PRIOR_ANSWERS) / (self.answers + PRIOR_ANSWERS)
-        own = self._rates[route]
+        own = self._routes[route]
         weight = own.answers + PRIOR_ANSWERS
         rate = (own.bad + PRIOR_ANSWERS * pool) / weight
         rate += RATE_MARGIN * math.sqrt(rate * (1 - rate) / weight)
-        return min(MOST_RATE, max(LEAST_RATE, rate))
+        return min(MAX_RATE, max(MIN_RATE, rate))
 
-    def _fade(self, now: float) -> None:
-        passed = now - self._faded
-        if passed < FADE_STEP_S:
+    def _decay(self, now: float) -> None:
+        passed = now - self._decayed_at
+        if passed < DECAY_STEP_S:
             return
-        self._faded = now
-        for rate in self._rates.values():
-            rate.fade(KEPT_A_SECOND**passed)
+        self._decayed_at = now
+        for counts in self._routes.values():
+            counts.decay(DECAY_PER_S**passed)
--- a/hibiscusstep/rollout/news.py
+++ b/hibiscusstep/rollout/news.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.rollout.news: what a dispatcher tells of the order it carries out."""
+"""hibiscusstep.rollout.news: progress reports of dispatchers on rollout orders."""
 
 from dataclasses import dataclass
 
@@ -10,20 +10,20 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutNews:
-    """What a dispatcher of this instance did for an order.
+    """Progress of an order that a dispatcher of this instance carries out.
 
     Parameters
     ----------
     pool : str
-        Whose.
+        The pool.
     number : int
-        Of the order.
+        Number of the order.
     progress : RolloutProgress
-        How far it came.
+        Progress so far.
     state : RolloutState or None
-        How it ended, if it did.
+        Final state; None while the order is running.
     reason : str
-        Why.
+        Reason for the final state.
     """
 
     pool: str
--- a/hibiscusstep/rollout/order.py
+++ b/hibiscusstep/rollout/order.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.rollout.order: what an operator orders, and how far it has come."""
+"""hibiscusstep.rollout.order: rollout orders of operators and their status."""
 
 import enum
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 
 class RolloutState(enum.StrEnum):
-    """How far an order has been carried out, as its status tells operators."""
+    """State of an order, as written to its status for operators."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -16,21 +16,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutOrder:
-    """An order to move a pool's traffic to the targets of a version.
+    """An operator's order to move a pool's traffic to the targets of a version.
 
     Parameters
     ----------
     pool, version : str
-        Whose traffic, and to which version.
+        The pool, and the version that is to receive its traffic.
     duration : float
-        Seconds from the order until it should be completed.
+        Seconds from the order to its deadline.
     revision : int
         The store's revision of the order and its status.
     state : RolloutState or None
-        As the status tells; None if it tells nothing.
+        State in the stored status; None if the status has none.
     state_version : str
-        The version that the status is about; an order that replaces another one finds
-        the status of that.
+        The version that the status refers to. When an order replaces another one, the
+        status still refers to the version of the replaced order.
     """
 
     pool: str
@@ -42,23 +42,23 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the status tells that this order is being carried out."""
-        return self._is(RolloutState.RUNNING)
+        """Whether this order is being carried out, according to its status."""
+        return self._has_state(RolloutState.RUNNING)
 
     @property
     def is_completed(self) -> bool:
-        """Whether all traffic has moved."""
-        return self._is(RolloutState.COMPLETED)
+        """Whether all traffic has moved to the version."""
+        return self._has_state(RolloutState.COMPLETED)
 
     @property
     def is_rolled_back(self) -> bool:
         """Whether the version was found to be bad, or not shown to be good."""
-        return self._is(RolloutState.ROLLED_BACK)
+        return self._has_state(RolloutState.ROLLED_BACK)
 
     @property
     def is_concluded(self) -> bool:
-        """Whether nothing is left to be done."""
+        """Whether the order has been completed or rolled back."""
         return self.is_completed or self.is_rolled_back
 
-    def _is(self, state: RolloutState) -> bool:
+    def _has_state(self, state: RolloutState) -> bool:
         return self.state is state and self.state_version == self.version
--- a/hibiscusstep/rollout/sequential.py
+++ b/hibiscusstep/rollout/sequential.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.rollout.sequential: tests that take answers one by one."""
+"""hibiscusstep.rollout.sequential: sequential hypothesis tests."""
 
 import math
 from abc import ABC, abstractmethod
@@ -9,12 +9,12 @@
 
 
 class SequentialTest(ABC):
-    """Sums up the evidence of answers, one by one, that too many of them are bad.
+    """A test that accumulates, answer by answer, evidence of too many bad ones.
 
     Attributes
     ----------
     evidence : float
-        Natural logarithm of how much likelier the answers are if too many are.
+        Natural logarithm of the likelihood ratio of "too many are bad" to "not".
     """
 
     name: str
@@ -24,25 +24,25 @@
 
     @abstractmethod
     def add(self, log_ratio: float) -> None:
-        """Take an answer's logarithm of the likelihood ratio."""
+        """Add the log-likelihood ratio of one answer."""
 
 
 class Cusum(SequentialTest):
-    """Page's test: the evidence never falls below none.
+    """Page's CUSUM test: the evidence never falls below 0.
 
-    Page, E. S. (1954), Continuous inspection schemes, Biometrika 41. What was good at
-    first does not count for a version that turns bad later.
+    Page, E. S. (1954), Continuous inspection schemes, Biometrika 41. Good answers at
+    the start do not offset those of a version that turns bad later.
     """
 
     name = "cusum"
 
     def add(self, log_ratio: float) -> None:
-        """Take an answer; evidence that it is good does not add up."""
+        """Add the log-likelihood ratio of one answer; the sum is cut off at 0."""
         self.evidence = max(0.0, self.evidence + log_ratio)
 
 
 class SPRT(SequentialTest):
-    """Wald's test: all answers count.
+    """Wald's sequential probability ratio test: all answers count.
 
     Wald, A. (1945), Sequential tests of statistical hypotheses, Annals of Mathematical
     Statistics 16.
@@ -51,24 +51,24 @@
     name = "sprt"
 
     def add(self, log_ratio: float) -> None:
-        """Take an answer."""
+        """Add the log-likelihood ratio of one answer."""
         self.evidence += log_ratio
 
 
 TESTS = Registry("sequential test", [Cusum, SPRT])
 
 
-def log_ratio_of_failure(failed: bool, rate: float, part: float) -> float:
-    """Return the logarithm of how much likelier an outcome is if a part more fails.
+def log_ratio_of_failure(failed: bool, rate: float, excess: float) -> float:
+    """Return the log-likelihood ratio of an outcome under a raised failure rate.
 
     Parameters
     ----------
     failed : bool
         The outcome.
     rate : float
-        Part of answers that fail in the version in force.
-    part : float
-        Of the others.
+        Failure rate of the current version.
+    excess : float
+        Share of the remaining answers that fail as well if the version is bad.
     """
-    worse = rate + part * (1 - rate)
+    worse = rate + excess * (1 - rate)
     return math.log(worse / rate if failed else (1 - worse) / (1 - rate))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.rollout: budget, comparison of versions, and carrying an order out."""
+"""hibiscusstep.rollout: exposure budget, version comparison, order execution."""
 
 import random
 
@@ -20,7 +20,7 @@
 
 class TestOrder:
     @pytest.mark.parametrize("state", list(RolloutState))
-    def test_a_status_of_another_version_is_not_its_own(self, state):
+    def test_a_status_of_another_version_is_ignored(self, state):
         order = RolloutOrder("p", "v3", 10.0, 1, state, "v2")
         assert not (order.is_running or order.is_concluded)
 
@@ -33,26 +33,26 @@
 
 class TestBudget:
     @given(st.lists(st.booleans(), max_size=2000), st.floats(0.01, 0.5))
-    def test_what_is_left_never_exceeds_the_bound(self, wishes, share):
+    def test_exposed_requests_never_exceed_the_limit(self, requested, share):
         limits = ExposureLimits(share, 50.0)
         budget = ExposureBudget(limits)
-        for wish in wishes:
-            budget.count(wish and budget.left >= 1.0)
+        for exposed in requested:
+            budget.count_request(exposed and budget.remaining >= 1.0)
             assert budget.exposed <= share * budget.requests + limits.slack
 
-    def test_of_a_dispatcher_that_knows_nothing_of_the_allowance_uses_none(self):
+    def test_an_unknown_use_of_the_allowance_leaves_none(self):
         budget = ExposureBudget(LIMITS, slack_part=0.0)
-        assert budget.left <= 0.0
+        assert budget.remaining <= 0.0
 
-    def test_the_last_seconds_may_be_the_versions_alone(self):
+    def test_full_traffic_in_the_last_seconds_keeps_the_limit(self):
         budget = ExposureBudget(LIMITS, requests=1000, exposed=20)
-        seconds = budget.seconds_of_all(100.0)
+        seconds = budget.full_traffic_seconds(100.0)
         assert 20 + 100.0 * seconds <= 0.1 * (1000 + 100.0 * seconds) + 50.0
         assert seconds > 0.5
 
 
-class _Answers:
-    """Two versions' answers, drawn; `play` returns after how many it is condemned."""
+class _DrawnAnswers:
+    """Randomly drawn answers of two versions, and a comparison that observes them."""
 
     def __init__(self, seed, targets=4, test="cusum"):
         self.draw = random.Random(seed)
@@ -60,28 +60,31 @@
         self.targets = targets
         self.now = 0.0
 
-    def old(self, count=1, fails=0.01, slow=0.0):
+    def add_current(self, count=1, fails=0.01, slow=0.0):
         for _ in range(count):
-            self._one("old", False, fails, slow)
+            self._add("old", False, fails, slow)
 
-    def run_on(self, count, ratio):
-        """Let so many requests still run at the new version that took so long."""
+    def add_running(self, count, ratio):
+        """Let `count` requests run at the new version, with this time ratio so far."""
         running = [
             Answer(f"new{n % self.targets}", "r0", False, ratio=ratio, cut_short=True)
             for n in range(count)
         ]
         self.comparison.take_running(running, self.now)
 
-    def play(self, count, fails=0.01, slow=0.0, old_fails=0.01, only=None):
-        """Play a version's answers, each among four of the other one."""
+    def add_new(self, count, fails=0.01, slow=0.0, current_fails=0.01, only=None):
+        """Add answers of the new version, each after four of the current one.
+
+        Returns the number of answers at which it is rejected (or None), and the reason.
+        """
         for number in range(count):
-            self.old(4, old_fails)
-            self._one("new", True, fails, slow, only)
-            if reason := self.comparison.judge(self.targets, self.now):
+            self.add_current(4, current_fails)
+            self._add("new", True, fails, slow, only)
+            if reason := self.comparison.rejection_reason(self.targets, self.now):
                 return number + 1, reason
         return None, ""
 
-    def _one(self, name, new, fails, slow, only=None):
+    def _add(self, name, new, fails, slow, only=None):
         self.now += 0.01
         number = self.draw.randrange(self.targets)
         hit = only is None or number == only
@@ -97,57 +100,58 @@
 class TestComparison:
     SEEDS = range(20)
 
-    def test_a_version_like_the_other_one_is_not_condemned(self):
-        found = [_Answers(s).play(600)[1] for s in self.SEEDS]
+    def test_a_version_like_the_current_one_is_not_rejected(self):
+        found = [_DrawnAnswers(s).add_new(600)[1] for s in self.SEEDS]
         assert found.count("") >= 19
 
-    def test_one_that_fails_like_the_other_one_is_not_condemned(self):
+    def test_a_version_failing_like_the_current_one_is_not_rejected(self):
         found = [
-            _Answers(s).play(600, fails=0.14, old_fails=0.14)[1] for s in self.SEEDS
+            _DrawnAnswers(s).add_new(600, fails=0.14, current_fails=0.14)[1]
+            for s in self.SEEDS
         ]
         assert found.count("") >= 19
 
     @pytest.mark.parametrize("part", [0.2, 0.5])
-    def test_one_that_fails_is_condemned_before_50_bad_answers(self, part):
+    def test_a_failing_version_is_rejected_before_50_bad_answers(self, part):
         for seed in self.SEEDS:
-            answers, reason = _Answers(seed).play(600, fails=part)
+            answers, reason = _DrawnAnswers(seed).add_new(600, fails=part)
             assert reason.startswith("fails"), seed
             assert answers * part < 50
 
-    def test_one_of_which_a_part_is_slow_is_condemned(self):
+    def test_a_partly_slow_version_is_rejected(self):
         for seed in self.SEEDS:
-            answers, reason = _Answers(seed).play(600, slow=0.4)
+            answers, reason = _DrawnAnswers(seed).add_new(600, slow=0.4)
             assert reason.startswith("slow"), seed
             assert answers * 0.4 < 50
 
-    def test_one_that_turns_bad_later_is_condemned(self):
+    def test_a_version_that_turns_bad_later_is_rejected(self):
         for seed in self.SEEDS:
-            answers = _Answers(seed)
-            assert answers.play(300)[1] == ""
-            later, reason = answers.play(300, fails=0.3)
+            answers = _DrawnAnswers(seed)
+            assert answers.add_new(300)[1] == ""
+            later, reason = answers.add_new(300, fails=0.3)
             assert reason, seed
             assert later * 0.3 < 50
 
-    def test_runs_that_do_not_end_condemn_a_version(self):
-        """A slow version was completed: its slow answers ended after the deadline."""
-        answers = _Answers(1)
-        assert answers.play(300)[1] == ""
-        answers.run_on(5, ratio=0.5)
-        assert answers.comparison.judge(4, answers.now) == ""
-        answers.run_on(15, ratio=60.0)
-        assert answers.comparison.judge(4, answers.now).startswith("slow")
-
-    def test_runs_that_end_well_are_forgotten(self):
-        answers = _Answers(1)
-        answers.play(300)
+    def test_requests_that_do_not_end_reject_a_version(self):
+        """Guards against completing a slow version whose answers end too late."""
+        answers = _DrawnAnswers(1)
+        assert answers.add_new(300)[1] == ""
+        answers.add_running(5, ratio=0.5)
+        assert answers.comparison.rejection_reason(4, answers.now) == ""
+        answers.add_running(15, ratio=60.0)
+        assert answers.comparison.rejection_reason(4, answers.now).startswith("slow")
+
+    def test_running_requests_that_end_well_leave_no_evidence(self):
+        answers = _DrawnAnswers(1)
+        answers.add_new(300)
         before = answers.comparison.evidence
-        answers.run_on(8, ratio=60.0)
+        answers.add_running(8, ratio=60.0)
         assert answers.comparison.evidence > before
-        answers.run_on(0, ratio=0.0)
+        answers.add_running(0, ratio=0.0)
         assert answers.comparison.evidence == before
 
-    def test_one_that_is_bad_under_load_only_is_condemned(self):
-        """Its few bad answers were lost among all the others."""
+    def test_a_version_bad_under_load_only_is_rejected(self):
+        """Guards against its few bad answers being outweighed by all the others."""
         comparison = VersionComparison()
         draw = random.Random(3)
         bad = 0
@@ -159,55 +163,58 @@
             name = f"{'new' if new else 'old'}{number % 3}"
             answer = Answer(name, f"r{number % 4}", failed, ratio=1.0, loaded=loaded)
             comparison.observe(answer, new=new, now=now)
-            if comparison.judge(3, now):
+            if comparison.rejection_reason(3, now):
                 break
-        assert "under load" in comparison.judge(3, now)
+        assert "under load" in comparison.rejection_reason(3, now)
         assert bad < 15
 
-    def test_few_bad_answers_are_doubts(self):
-        """With too little evidence to condemn it, a bad version was completed."""
-        answers = _Answers(1)
-        answers.play(200)
-        assert answers.comparison.doubt(4) == ""
+    def test_few_bad_answers_raise_a_suspicion(self):
+        """Guards against completing a bad version for lack of evidence to reject it."""
+        answers = _DrawnAnswers(1)
+        answers.add_new(200)
+        assert answers.comparison.suspicion(4) == ""
         for number in range(3):
             failed = Answer(f"new{number}", "r0", True)
             answers.comparison.observe(failed, new=True, now=answers.now)
-        assert answers.comparison.judge(4, answers.now) == ""
-        assert answers.comparison.doubt(4)
-
-    def test_a_target_at_fault_takes_its_own_answers_along_only(self):
-        """What told against the version's other targets was forgotten with them."""
-        answers = _Answers(2, targets=2)
-        answers.play(100, fails=0.5, only=0)
-        assert answers.comparison.faulty == {"new0"}
-        assert answers.comparison.doubt(2)
-        _count, reason = answers.play(100, fails=0.5, only=1)
+        assert answers.comparison.rejection_reason(4, answers.now) == ""
+        assert answers.comparison.suspicion(4)
+
+    def test_excluding_a_faulty_target_keeps_the_answers_of_others(self):
+        """Guards against dropping the evidence against the version's other targets."""
+        answers = _DrawnAnswers(2, targets=2)
+        answers.add_new(100, fails=0.5, only=0)
+        assert answers.comparison.faulty_targets == {"new0"}
+        assert answers.comparison.suspicion(2)
+        _count, reason = answers.add_new(100, fails=0.5, only=1)
         assert reason
 
-    def test_the_answers_that_end_first_do_not_tell_what_fast_ones_take(self):
-        """As all targets began at once, good versions seemed to slow down."""
+    def test_the_first_answers_of_new_targets_do_not_bias_fast_times(self):
+        """Guards against rejecting a good version whose targets all start at once.
+
+        The fast answers of a target end first, so later ones look slow beside them.
+        """
         comparison = VersionComparison()
         draw = random.Random(1)
         for number in range(400):
             ratio = draw.lognormvariate(0.0, 0.6)
             old = Answer(f"old{number % 4}", "r", False, ratio=ratio)
             comparison.observe(old, new=False, now=0.01 * number)
-        comparison.begin_move(4.0)
+        comparison.begin_full_traffic(4.0)
         ratios = sorted(draw.lognormvariate(0.0, 0.6) for _ in range(400))
         for number, ratio in enumerate(ratios):
             new = Answer(f"new{number % 40}", "r", False, ratio=ratio)
             comparison.observe(new, new=True, now=4.0 + 0.005 * number)
         assert comparison.evidence < 0.1
 
-    def test_one_target_at_fault_does_not_condemn_its_version(self):
+    def test_one_faulty_target_does_not_reject_its_version(self):
         for seed in self.SEEDS:
-            answers = _Answers(seed)
-            assert answers.play(400, fails=0.5, only=1)[1] == ""
-            assert answers.comparison.faulty == {"new1"}
+            answers = _DrawnAnswers(seed)
+            assert answers.add_new(400, fails=0.5, only=1)[1] == ""
+            assert answers.comparison.faulty_targets == {"new1"}
 
-    def test_a_version_of_one_target_is_judged_by_it(self):
-        answers = _Answers(1, targets=1)
-        assert answers.play(400, fails=0.5)[1]
+    def test_the_only_target_of_a_version_can_reject_it(self):
+        answers = _DrawnAnswers(1, targets=1)
+        assert answers.add_new(400, fails=0.5)[1]
 
     def test_a_crash_counts_once(self):
         comparison = VersionComparison()
@@ -219,15 +226,15 @@
             comparison.observe(broken, new=True, now=1.0 + 0.001 * number)
         assert comparison.bad == 1
 
-    def test_nothing_is_judged_before_the_other_version_answered(self):
+    def test_nothing_is_rejected_before_the_current_version_answered(self):
         comparison = VersionComparison()
         for number in range(40):
             failed = Answer("new", "r", True)
             comparison.observe(failed, new=True, now=0.1 * number)
-        assert comparison.judge(1, 4.0) == ""
+        assert comparison.rejection_reason(1, 4.0) == ""
 
-    def test_wald_condemns_as_well(self):
-        assert _Answers(1, test="sprt").play(600, fails=0.5)[1]
+    def test_the_sprt_rejects_as_well(self):
+        assert _DrawnAnswers(1, test="sprt").add_new(600, fails=0.5)[1]
 
     def test_an_unknown_test_is_an_error(self):
         with pytest.raises(UnknownName):
@@ -248,7 +255,7 @@
 
 class TestRollout:
     def _serve(self, rollout, seconds, rate=100, failing=0.0, start=0.0):
-        """Let requests come; each one that the version may get is answered."""
+        """Send requests; return when the order ended, or None."""
         draw = random.Random(1)
         for number in range(int(seconds * rate)):
             now = start + number / rate
@@ -270,31 +277,31 @@
         assert rollout.verdict is RolloutState.COMPLETED
         assert 19.0 < ended <= 20.0 - 0.3 + 0.05
 
-    def test_a_good_version_stays_within_the_bound_until_then(self):
+    def test_a_good_version_stays_within_the_limit_until_then(self):
         rollout = _rollout()
         self._serve(rollout, 20.0)
         progress = rollout.progress
         assert progress.exposed <= 0.1 * progress.requests + 50
 
-    def test_a_bad_version_is_rolled_back_and_gets_nothing_more(self):
+    def test_a_bad_version_is_rolled_back_and_receives_no_more(self):
         rollout = _rollout()
         self._serve(rollout, 20.0, failing=0.5)
         assert rollout.verdict is RolloutState.ROLLED_BACK
         assert not rollout.may_expose()
 
-    def test_it_does_not_move_all_traffic_while_in_doubt(self):
+    def test_a_suspicion_prevents_full_traffic(self):
         rollout = _rollout()
         self._serve(rollout, 18.5)
         for number in range(4):
             bad = Answer(f"new{number % 3}", "r", number % 2 == 0, ratio=1.0)
             rollout.comparison.observe(bad, new=True, now=18.5)
-        assert rollout.comparison.judge(3, 18.5) == ""
+        assert rollout.comparison.rejection_reason(3, 18.5) == ""
         rollout.tick(3, 19.6)
         assert not rollout.moves_all
         rollout.tick(3, 19.71)
         assert rollout.verdict is RolloutState.ROLLED_BACK
 
-    def test_answers_that_could_not_be_compared_prove_nothing(self):
+    def test_answers_that_were_not_compared_do_not_complete_it(self):
         rollout = _rollout()
         for number in range(20):
             rollout.count(True)
@@ -304,7 +311,7 @@
         assert rollout.verdict is RolloutState.ROLLED_BACK
         assert "compared" in rollout.reason
 
-    def test_a_bad_version_harms_no_more_callers_than_it_takes_to_see_it(self):
+    def test_canary_requests_are_limited_by_rate(self):
         rollout = _rollout(40.0)
         self._serve(rollout, 30.0, rate=1000)
         assert rollout.progress.exposed <= 20 * 30 + 24
@@ -324,23 +331,23 @@
         assert rollout.verdict is RolloutState.ROLLED_BACK
         assert "answers" in rollout.reason
 
-    def test_who_takes_over_goes_on_with_what_was_used(self):
+    def test_a_takeover_continues_with_the_used_budget(self):
         before = RolloutProgress(100, 25, 22)
         rollout = _rollout(progress=before)
         assert not rollout.may_expose()
         assert rollout.progress.exposed == 25
 
-    def test_who_does_not_know_what_was_used_begins_with_the_share_alone(self):
+    def test_an_unknown_used_budget_starts_with_the_share_alone(self):
         rollout = _rollout(progress=RolloutProgress(is_known=False))
         assert not rollout.may_expose()
 
-    def test_doubts_of_a_dispatcher_that_ended_count(self):
+    def test_evidence_of_a_previous_dispatcher_counts(self):
         before = RolloutProgress(1000, 40, 40, evidence=0.9)
         rollout = _rollout(progress=before)
         rollout.tick(3, 19.8)
         assert rollout.verdict is RolloutState.ROLLED_BACK
 
-    def test_the_version_in_force_is_completed_at_once(self):
+    def test_the_current_version_is_completed_at_once(self):
         rollout = _rollout(is_in_force=True)
         rollout.tick(3, 0.0)
         assert rollout.verdict is RolloutState.COMPLETED
@@ -362,7 +369,7 @@
 
 
 class TestDispatcher:
-    """Which targets a dispatcher grants, by their versions."""
+    """Targets that a dispatcher grants, by version."""
 
     def _dispatcher(self, plan, alone=""):
         dispatcher = SlotDispatcher("p", plan, alone=alone)
@@ -370,7 +377,7 @@
         return dispatcher
 
     def _granted(self, dispatcher, count, now=0.0, **fields):
-        """Ask for some requests, each ended before the next; return their targets."""
+        """Request grants, each finished before the next; return their targets."""
         found = []
         for number in range(count):
             work = _work(number, now, **fields)
@@ -379,47 +386,47 @@
             dispatcher.handle(m.Finished(work.ask, m.Outcome.DONE), now + 0.01)
         return found
 
-    def test_a_version_that_is_not_in_force_gets_nothing(self):
+    def test_a_version_that_is_not_current_receives_nothing(self):
         dispatcher = self._dispatcher(_plan())
         assert "t2" not in self._granted(dispatcher, 50)
 
-    def test_nor_while_all_others_are_full(self):
+    def test_nor_does_it_while_all_other_targets_are_full(self):
         dispatcher = self._dispatcher(_plan())
         for number in range(20):
             dispatcher.handle(m.Ask(_work(number, 0.0)), 0.0)
         assert dispatcher.waiting == {"0": 12}
 
-    def test_without_any_version_in_force_nothing_is_granted(self):
+    def test_without_a_current_version_nothing_is_granted(self):
         assert self._granted(self._dispatcher(_plan(serving=("",))), 5) == []
 
-    def test_all_serve_where_nothing_is_said_of_versions(self):
+    def test_all_targets_serve_without_information_on_versions(self):
         dispatcher = self._dispatcher(_plan(serving=()))
         for number in range(12):
             dispatcher.handle(m.Ask(_work(number, 0.0)), 0.0)
         assert dispatcher.waiting == {}
 
-    def test_an_instance_alone_sends_nothing_to_a_version_under_way(self):
+    def test_an_instance_dispatching_alone_sends_no_canary_requests(self):
         plan = _plan(rollout=PlannedRollout("v2", 1, 100.0))
         dispatcher = self._dispatcher(plan, alone="i")
         assert "t2" not in self._granted(dispatcher, 50)
 
-    def test_suspects_run_at_the_version_in_force(self):
+    def test_suspect_requests_run_at_the_current_version(self):
         plan = _plan(rollout=PlannedRollout("v2", 1, 100.0))
         dispatcher = self._dispatcher(plan)
         assert "t2" not in self._granted(dispatcher, 50, suspect=7)
 
-    def test_a_version_under_way_gets_few(self):
+    def test_a_version_being_rolled_out_receives_few(self):
         plan = _plan(rollout=PlannedRollout("v2", 1, 100.0, limits=LIMITS))
         granted = self._granted(self._dispatcher(plan), 400)
         assert 0 < granted.count("t2") <= 0.1 * 400 + 50
 
-    def test_an_order_that_is_withdrawn_bars_its_version(self):
+    def test_a_withdrawn_order_bars_its_version(self):
         plan = _plan(rollout=PlannedRollout("v2", 1, 100.0, limits=LIMITS))
         dispatcher = self._dispatcher(plan)
         dispatcher.handle(m.Configure(_plan()), 0.0)
         assert "t2" not in self._granted(dispatcher, 50)
 
-    def test_the_version_that_is_completed_gets_all(self):
+    def test_a_completed_version_receives_all(self):
         dispatcher = self._dispatcher(_plan())
         dispatcher.handle(m.Configure(_plan(serving=("v2",))), 0.0)
         assert set(self._granted(dispatcher, 20)) == {"t2"}
