--- a/hibiscusstep/forwarding/kept_rollouts.py
+++ b/hibiscusstep/forwarding/kept_rollouts.py
@@ -1,27 +1,27 @@
-"""hibiscusstep.forwarding.kept_rollouts: how far an order came, as a kept document."""
+"""hibiscusstep.forwarding.kept_rollouts: progress of an order as a stored document."""
 
 import logging
 from dataclasses import dataclass
 
 from hibiscusstep.rollout.controller import RolloutProgress
 
-__all__ = ["KeptRollout", "from_document", "to_document"]
+__all__ = ["SavedRollout", "from_document", "to_document"]
 
 _LOG = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
-class KeptRollout:
-    """An order that was being carried out.
+class SavedRollout:
+    """The saved progress of an order.
 
     Parameters
     ----------
     version : str
-        To which the traffic was moving.
+        The version that the order moves the traffic to.
     began : float
         When the order was first seen, in Unix seconds.
     progress : RolloutProgress
-        How far it came.
+        Progress so far.
     """
 
     version: str
@@ -29,20 +29,20 @@
     progress: RolloutProgress
 
 
-def to_document(kept: KeptRollout) -> dict:
-    """Return an order as a document."""
+def to_document(saved: SavedRollout) -> dict:
+    """Return the progress of an order as a document."""
     return {
-        "version": kept.version,
-        "began": kept.began,
-        "requests": kept.progress.requests,
-        "exposed": kept.progress.exposed,
-        "answers": kept.progress.answers,
-        "evidence": kept.progress.evidence,
+        "version": saved.version,
+        "began": saved.began,
+        "requests": saved.progress.requests,
+        "exposed": saved.progress.exposed,
+        "answers": saved.progress.answers,
+        "evidence": saved.progress.evidence,
     }
 
 
-def from_document(pool: str, document: dict | None) -> KeptRollout | None:
-    """Return the order of a document; None, with a log line, if it is malformed."""
+def from_document(pool: str, document: dict | None) -> SavedRollout | None:
+    """Return the progress in a document; log it and return None if it is malformed."""
     if document is None:
         return None
     try:
@@ -51,7 +51,7 @@
             evidence=max(0.0, float(document["evidence"])),
         )
         version, began = str(document["version"]), float(document["began"])
-        return KeptRollout(version, began, progress)
+        return SavedRollout(version, began, progress)
     except (KeyError, TypeError, ValueError, OverflowError) as cause:
         _LOG.error("kept rollout ignored", extra={"pool": pool, "error": repr(cause)})
         return None
--- a/hibiscusstep/forwarding/rollout_book.py
+++ b/hibiscusstep/forwarding/rollout_book.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.rollout_book: versions of pools' targets, and orders."""
+"""hibiscusstep.forwarding.rollout_book: current versions and orders of all pools."""
 
 import math
 from collections import defaultdict
@@ -11,39 +11,40 @@
 from hibiscusstep.rollout.controller import PlannedRollout, RolloutProgress
 from hibiscusstep.rollout.order import RolloutOrder, RolloutState
 
-__all__ = ["PoolVersions", "RolloutBook"]
+__all__ = ["PoolVersionTable", "PoolVersions"]
 
-# Stands for all versions of a pool while it is not known which of several serves.
-NONE_KNOWN = frozenset({""})
+# Matches no version; used while it is unknown which of several versions is current.
+NO_VERSIONS = frozenset({""})
 
 
 @dataclass(slots=True, eq=False)
 class PoolVersions:
-    """What is known of a pool's versions.
+    """A pool's current versions and its order, as far as they are known.
 
     Parameters
     ----------
     order : RolloutOrder or None
-        The operator's order as the store has it.
+        The operator's order in the store.
     revision : int
-        Of the store, up to which `order` is known.
+        Store revision up to which `order` is known.
     number : int
-        The store's revision at which the order was new; it tells orders apart.
+        Store revision at which the order was new; it identifies the order.
     began : float
-        When it was first seen, on the loop's clock.
+        When the order was first seen, on the event loop's clock.
     progress : RolloutProgress
-        How far it has been carried out.
+        Progress of the order.
     is_begun : bool
-        Whether the store told that it is being carried out. Before, no request may go
-        to its version: who starts later would not ask what was used.
+        Whether the store has the status that the order is running. Before that, no
+        request may go to its version: an instance that starts later would not ask how
+        much of the budget was used.
     final : RolloutState or None
-        How it ended, whether or not the store has that yet.
+        Final state of the order, whether or not the store has it yet.
     serving : frozenset of str
-        Versions in force; empty while they are not known.
+        Current versions; empty while they are unknown.
     serving_since : int
-        Number of the order whose completion put them in force; 0 for none.
+        Number of the order whose completion made them current; 0 for none.
     serving_at : float
-        When they were known here, on the loop's clock.
+        When they became known here, on the event loop's clock.
     """
 
     order: RolloutOrder | None = None
@@ -59,7 +60,7 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether an order is to be carried out."""
+        """Whether there is an order without a final state."""
         return self.order is not None and self.final is None
 
     @property
@@ -68,32 +69,32 @@
         return self.final is RolloutState.ROLLED_BACK
 
     @property
-    def wanted_state(self) -> RolloutState | None:
-        """What the order's status should be, where it is not; else None."""
+    def state_to_write(self) -> RolloutState | None:
+        """State to write to the order's status; None if the store has it already."""
         if self.order is None:
             return None
-        wanted = self.final or RolloutState.RUNNING
-        told = self.order.state if self._status_is_of_order else None
-        return wanted if told is not wanted else None
+        expected = self.final or RolloutState.RUNNING
+        stored = self.order.state if self._status_is_of_order else None
+        return expected if stored is not expected else None
 
     @property
     def _status_is_of_order(self) -> bool:
         return self.order.state_version == self.order.version
 
 
-class RolloutBook:
-    """Knows of each pool which versions are in force and which order is given.
+class PoolVersionTable:
+    """Table of each pool's current versions and order.
 
-    What instances tell each other is merged: it does not matter in which order, or how
-    often.
+    Records of other instances are merged; neither their order nor their repetition
+    affects the result.
     """
 
     def __init__(self) -> None:
         self._pools: dict[str, PoolVersions] = defaultdict(PoolVersions)
-        self._seen: dict[str, dict[str, _Seen]] = {}
+        self._discovered: dict[str, dict[str, _VersionTargets]] = {}
 
     def __getitem__(self, pool: str) -> PoolVersions:
-        """Return what is known of a pool."""
+        """Return the entry of a pool."""
         return self._pools[pool]
 
     def __iter__(self):
@@ -101,110 +102,111 @@
         return iter(list(self._pools))
 
     @property
-    def running(self) -> list[str]:
-        """Pools whose order is being carried out."""
+    def running_pools(self) -> list[str]:
+        """Pools with a running order."""
         return [name for name, pool in self._pools.items() if pool.is_running]
 
-    def ambiguous(self) -> list[str]:
-        """Return the pools of whose several versions none is known to be in force."""
+    def ambiguous_pools(self) -> list[str]:
+        """Return the pools with several versions of which none is known as current."""
         return [
             pool
-            for pool, seen in self._seen.items()
-            if not self._pools[pool].serving and len(seen) > 1
+            for pool, versions in self._discovered.items()
+            if not self._pools[pool].serving and len(versions) > 1
         ]
 
-    def take_targets(self, targets: Iterable[DiscoveredTarget], now: float) -> bool:
-        """Take all targets; the only version of a pool is the one in force.
+    def update_targets(self, targets: Iterable[DiscoveredTarget], now: float) -> bool:
+        """Replace the known targets; the only version of a pool is its current one.
 
         Returns
         -------
         bool
-            Whether other versions are in force, or seen, than before.
+            Whether the current versions or those of the targets have changed.
         """
         before = self._versions()
-        self._seen = {}
+        self._discovered = {}
         for target in targets:
-            seen = self._seen.setdefault(target.pool, {})
-            seen.setdefault(target.version, _Seen()).add(target)
-        for pool, seen in self._seen.items():
-            known = self._pools[pool]
-            if not known.serving and len(seen) == 1 and known.order is None:
-                self._set_serving(known, frozenset(seen), now)
-        self._take_over(now)
+            versions = self._discovered.setdefault(target.pool, {})
+            versions.setdefault(target.version, _VersionTargets()).add(target)
+        for pool, versions in self._discovered.items():
+            entry = self._pools[pool]
+            if not entry.serving and len(versions) == 1 and entry.order is None:
+                self._set_serving(entry, frozenset(versions), now)
+        self._derive_serving(now)
         return self._versions() != before
 
     def _versions(self) -> dict[str, tuple[frozenset[str], frozenset[str]]]:
-        """Return the versions in force and those that are seen, by pool."""
+        """Return the current versions and those of the targets, by pool."""
         return {
-            pool: (self._pools[pool].serving, frozenset(seen))
-            for pool, seen in self._seen.items()
+            pool: (self._pools[pool].serving, frozenset(versions))
+            for pool, versions in self._discovered.items()
         }
 
-    def take_order(self, order: RolloutOrder, now: float) -> bool:
-        """Take an order as the store has it; whether that is news."""
-        known = self._pools[order.pool]
-        if order.revision <= known.revision:
+    def apply_order(self, order: RolloutOrder, now: float) -> bool:
+        """Apply an order of the store; return whether it is newer than the known."""
+        entry = self._pools[order.pool]
+        if order.revision <= entry.revision:
             return False
-        before, known.revision = known.order, order.revision
-        known.order = order
-        if before is not None and _is_same(before, order):
-            self._note_state(known, now)
+        before, entry.revision = entry.order, order.revision
+        entry.order = order
+        if before is not None and _is_same_order(before, order):
+            self._apply_status(entry, now)
         elif before is None and order.state_version == order.version:
-            # It was being carried out, or was, before this instance saw it.
-            self._begin(known, order, now, is_known=False)
-            self._note_state(known, now)
+            # The order was being carried out, or had ended, before this instance saw
+            # it.
+            self._start_order(entry, order, now, is_known=False)
+            self._apply_status(entry, now)
         else:
-            # The status is that of another order, also where the version is the same.
-            known.order = replace(order, state=None, state_version="")
-            self._begin(known, order, now, is_known=True)
-        self._take_over(now)
+            # The status is that of another order, even if the version is the same.
+            entry.order = replace(order, state=None, state_version="")
+            self._start_order(entry, order, now, is_known=True)
+        self._derive_serving(now)
         return True
 
-    def withdraw(self, pool: str, revision: int) -> bool:
-        """Take note that a pool's order was withdrawn; whether that is news.
+    def withdraw_order(self, pool: str, revision: int) -> bool:
+        """Apply the removal of a pool's order; return whether there was one to remove.
 
-        What is told of a removal may bear the revision of the order's last change; the
-        removal itself came after it.
+        A notification of the removal may carry the revision of the order's last change,
+        although the removal came after it.
         """
-        known = self._pools[pool]
-        if known.order is None or revision < known.revision:
+        entry = self._pools[pool]
+        if entry.order is None or revision < entry.revision:
             return False
-        known.revision = max(revision, known.revision + 1)
-        known.order = None
+        entry.revision = max(revision, entry.revision + 1)
+        entry.order = None
         return True
 
     def conclude(self, pool: str, number: int, state: RolloutState) -> bool:
-        """Take note of how an order ends; whether that is news."""
-        known = self._pools[pool]
-        if known.number != number or known.final is not None:
+        """Set the final state of an order; return whether it had none."""
+        entry = self._pools[pool]
+        if entry.number != number or entry.final is not None:
             return False
-        known.final = state
+        entry.final = state
         return True
 
-    def note_progress(self, pool: str, number: int, progress: RolloutProgress) -> None:
-        """Take how far an order has been carried out here."""
-        known = self._pools[pool]
-        if known.number == number:
-            known.progress = progress
+    def set_progress(self, pool: str, number: int, progress: RolloutProgress) -> None:
+        """Set the progress of an order that this instance carries out."""
+        entry = self._pools[pool]
+        if entry.number == number:
+            entry.progress = progress
 
-    def resume(
+    def restore_progress(
         self, pool: str, number: int, age: float, progress: RolloutProgress, now: float
     ) -> None:
-        """Take how far an order was carried out before all instances restarted."""
-        known = self._pools[pool]
-        if known.number == number and not known.progress.is_known:
-            known.began = now - age
-            known.progress = progress
-
-    def guess(self, pool: str, now: float) -> None:
-        """Take the version for the one in force that has been there for longest."""
-        seen = self._seen.get(pool, {})
-        known = self._pools[pool]
-        ordered = known.order.version if known.order else ""
-        others = {v: s for v, s in seen.items() if v != ordered} or seen
-        if others and not known.serving:
+        """Set the progress of an order that was made before all instances restarted."""
+        entry = self._pools[pool]
+        if entry.number == number and not entry.progress.is_known:
+            entry.began = now - age
+            entry.progress = progress
+
+    def guess_serving(self, pool: str, now: float) -> None:
+        """Assume that the version with the oldest target is the current one."""
+        versions = self._discovered.get(pool, {})
+        entry = self._pools[pool]
+        ordered = entry.order.version if entry.order else ""
+        others = {v: t for v, t in versions.items() if v != ordered} or versions
+        if others and not entry.serving:
             oldest = min(others, key=lambda v: (others[v].began, -others[v].slots, v))
-            self._set_serving(known, frozenset({oldest}), now)
+            self._set_serving(entry, frozenset({oldest}), now)
 
     def serving(self, pool: str, seen: Iterable[str] = ()) -> frozenset[str]:
         """Return the versions of a pool that may serve; empty if all may.
@@ -214,21 +216,21 @@
         pool : str
             The pool.
         seen : iterable of str
-            Versions of its targets, which may be newer than what was taken here.
+            Versions of its targets, which may be newer than those of this table.
         """
-        known = self._pools.get(pool)
-        if known is not None and known.serving:
-            return known.serving
-        several = len({*seen, *self._seen.get(pool, ())}) > 1
-        return NONE_KNOWN if several else frozenset()
-
-    def barred(self, pool: str) -> frozenset[str]:
-        """Return the versions of a pool that no order allows."""
-        known = self._pools[pool]
-        allowed = self.serving(pool) | {known.order.version if known.order else ""}
+        entry = self._pools.get(pool)
+        if entry is not None and entry.serving:
+            return entry.serving
+        several = len({*seen, *self._discovered.get(pool, ())}) > 1
+        return NO_VERSIONS if several else frozenset()
+
+    def barred_versions(self, pool: str) -> frozenset[str]:
+        """Return the versions of a pool that are neither current nor ordered."""
+        entry = self._pools[pool]
+        allowed = self.serving(pool) | {entry.order.version if entry.order else ""}
         return (
-            frozenset(self._seen.get(pool, ())) - allowed
-            if known.serving
+            frozenset(self._discovered.get(pool, ())) - allowed
+            if entry.serving
             else frozenset()
         )
 
@@ -237,150 +239,152 @@
     ) -> PlannedRollout | None:
         """Return the order that a pool's dispatcher is to carry out.
 
-        Until the store has the completion, all traffic goes on moving.
+        An order is carried out until the store has its completion.
         """
-        known = self._pools.get(pool)
-        if known is None or known.order is None or known.is_rejected:
+        entry = self._pools.get(pool)
+        if entry is None or entry.order is None or entry.is_rejected:
             return None
-        order = known.order
-        if order.is_completed or not known.is_begun:
+        order = entry.order
+        if order.is_completed or not entry.is_begun:
             return None
         return PlannedRollout(
             order.version,
-            known.number,
-            known.began + order.duration,
+            entry.number,
+            entry.began + order.duration,
             lead,
-            known.serving == {order.version},
+            entry.serving == {order.version},
             limits,
-            known.progress,
+            entry.progress,
         )
 
     def records(self, now: float, pools: Iterable[str] = ()) -> list[RolloutRecord]:
-        """Return what others are told: of some pools, or of all with something to tell.
+        """Return the records for other instances, by default of all relevant pools.
 
-        A pool with one version and no order is known to all.
+        A pool with one version and no order needs none.
         """
         names = list(pools) or [
             name
-            for name, known in self._pools.items()
-            if known.revision
-            or known.serving_since
-            or len(self._seen.get(name, ())) > 1
+            for name, entry in self._pools.items()
+            if entry.revision
+            or entry.serving_since
+            or len(self._discovered.get(name, ())) > 1
         ]
         return [self._record(name, now) for name in names]
 
-    def take_record(self, record: RolloutRecord, now: float) -> bool:
-        """Take what another instance knows of a pool; whether anything was news."""
-        known = self._pools[record.pool]
-        changed = self._take_serving(known, record, now)
-        is_newer_order = record.number > known.revision
-        if record.revision > known.revision:
+    def merge_record(self, record: RolloutRecord, now: float) -> bool:
+        """Merge another instance's record of a pool; return whether it was news."""
+        entry = self._pools[record.pool]
+        changed = self._merge_serving(entry, record, now)
+        is_newer_order = record.number > entry.revision
+        if record.revision > entry.revision:
             changed = True
-            known.revision = record.revision
-            known.order = None if record.removed else _order_of(record)
+            entry.revision = record.revision
+            entry.order = None if record.removed else _order_from_record(record)
         if is_newer_order:
-            self._begin(known, known.order, now, is_known=record.is_known)
-            known.number = record.number
-        if known.number and record.revision >= known.number:
-            # Who saw the order first has the lower number.
-            known.number = min(known.number, record.number or known.number)
-            changed |= self._take_progress(known, record, now)
-        if known.order is not None:
-            self._note_state(known, now)
+            self._start_order(entry, entry.order, now, is_known=record.is_known)
+            entry.number = record.number
+        if entry.number and record.revision >= entry.number:
+            # The instance that saw the order first has the lower number.
+            entry.number = min(entry.number, record.number or entry.number)
+            changed |= self._merge_progress(entry, record, now)
+        if entry.order is not None:
+            self._apply_status(entry, now)
         return changed
 
-    def _take_progress(self, known, record: RolloutRecord, now: float) -> bool:
-        known.began = min(known.began, now - record.age)
-        mine = known.progress
-        known.progress = RolloutProgress(
-            max(mine.requests, record.requests),
-            max(mine.exposed, record.exposed),
-            max(mine.answers, record.answers),
-            mine.is_known or record.is_known,
-            max(mine.evidence, record.evidence),
+    def _merge_progress(self, entry, record: RolloutRecord, now: float) -> bool:
+        entry.began = min(entry.began, now - record.age)
+        own = entry.progress
+        entry.progress = RolloutProgress(
+            max(own.requests, record.requests),
+            max(own.exposed, record.exposed),
+            max(own.answers, record.answers),
+            own.is_known or record.is_known,
+            max(own.evidence, record.evidence),
         )
-        if record.is_rejected and known.final is None:
-            known.final = RolloutState.ROLLED_BACK
+        if record.is_rejected and entry.final is None:
+            entry.final = RolloutState.ROLLED_BACK
             return True
         return False
 
-    def _take_serving(self, known, record: RolloutRecord, now: float) -> bool:
+    def _merge_serving(self, entry, record: RolloutRecord, now: float) -> bool:
         if not record.serving:
             return False
-        told = record.serving_since, record.serving_for
-        mine = known.serving_since, now - known.serving_at
-        newer = told[0] > mine[0]
-        older_word = told[0] == mine[0] and told[1] > mine[1]
+        received = record.serving_since, record.serving_for
+        own = entry.serving_since, now - entry.serving_at
+        is_newer_order = received[0] > own[0]
+        is_known_longer = received[0] == own[0] and received[1] > own[1]
         serving = frozenset(record.serving)
-        if known.serving and (known.serving == serving or not (newer or older_word)):
+        if entry.serving and (
+            entry.serving == serving or not (is_newer_order or is_known_longer)
+        ):
             return False
-        known.serving = serving
-        known.serving_since = record.serving_since
-        known.serving_at = now - record.serving_for
+        entry.serving = serving
+        entry.serving_since = record.serving_since
+        entry.serving_at = now - record.serving_for
         return True
 
     def _record(self, name: str, now: float) -> RolloutRecord:
-        known = self._pools[name]
-        order, progress = known.order, known.progress
+        entry = self._pools[name]
+        order, progress = entry.order, entry.progress
         return RolloutRecord(
             name,
             order.version if order else "",
-            known.revision,
+            entry.revision,
             order is None,
             order.duration if order else 0.0,
             str(order.state or "") if order else "",
             order.state_version if order else "",
-            known.number,
-            now - known.began if known.number else 0.0,
+            entry.number,
+            now - entry.began if entry.number else 0.0,
             progress.requests,
             progress.exposed,
             progress.answers,
             progress.is_known,
             progress.evidence,
-            known.is_rejected,
-            sorted(known.serving),
-            known.serving_since,
-            now - known.serving_at if known.serving else 0.0,
+            entry.is_rejected,
+            sorted(entry.serving),
+            entry.serving_since,
+            now - entry.serving_at if entry.serving else 0.0,
         )
 
-    def _begin(self, known, order, now: float, *, is_known: bool) -> None:
-        """Begin an order that is new here."""
-        known.number = order.revision if order else 0
-        known.began = now
-        known.progress = RolloutProgress(is_known=is_known)
-        known.is_begun = False
-        known.final = None
-
-    def _note_state(self, known, now: float) -> None:
-        """Take the status of an order for how it ended."""
-        order = known.order
-        known.is_begun |= order.is_running
+    def _start_order(self, entry, order, now: float, *, is_known: bool) -> None:
+        """Reset an entry for an order that is new here."""
+        entry.number = order.revision if order else 0
+        entry.began = now
+        entry.progress = RolloutProgress(is_known=is_known)
+        entry.is_begun = False
+        entry.final = None
+
+    def _apply_status(self, entry, now: float) -> None:
+        """Apply the stored status of an order."""
+        order = entry.order
+        entry.is_begun |= order.is_running
         if order.is_rolled_back:
-            known.final = RolloutState.ROLLED_BACK
+            entry.final = RolloutState.ROLLED_BACK
         if order.is_completed:
-            known.final = RolloutState.COMPLETED
-            if known.serving_since < known.number or not known.serving:
-                self._set_serving(known, frozenset({order.version}), now)
-                known.serving_since = known.number
-
-    def _take_over(self, now: float) -> None:
-        """Find the versions in force by a pool's order: all others than its own."""
-        for name, known in self._pools.items():
-            seen = self._seen.get(name)
-            if known.serving or known.order is None or not seen:
+            entry.final = RolloutState.COMPLETED
+            if entry.serving_since < entry.number or not entry.serving:
+                self._set_serving(entry, frozenset({order.version}), now)
+                entry.serving_since = entry.number
+
+    def _derive_serving(self, now: float) -> None:
+        """Derive unknown current versions: all versions but that of the order."""
+        for name, entry in self._pools.items():
+            versions = self._discovered.get(name)
+            if entry.serving or entry.order is None or not versions:
                 continue
-            others = frozenset(seen) - {known.order.version}
-            if len(others) == 1 or (len(seen) == 1 and not others):
-                self._set_serving(known, others or frozenset(seen), now)
+            others = frozenset(versions) - {entry.order.version}
+            if len(others) == 1 or (len(versions) == 1 and not others):
+                self._set_serving(entry, others or frozenset(versions), now)
 
-    def _set_serving(self, known, versions: frozenset[str], now: float) -> None:
-        known.serving = versions
-        known.serving_at = now
+    def _set_serving(self, entry, versions: frozenset[str], now: float) -> None:
+        entry.serving = versions
+        entry.serving_at = now
 
 
 @dataclass(slots=True)
-class _Seen:
-    """The targets of a version: when the first began, and their slots."""
+class _VersionTargets:
+    """The targets of a version: when the first one began, and their slots."""
 
     began: float = math.inf
     slots: int = 0
@@ -390,11 +394,11 @@
         self.began = min(self.began, target.incarnation or math.inf)
 
 
-def _is_same(before: RolloutOrder, order: RolloutOrder) -> bool:
+def _is_same_order(before: RolloutOrder, order: RolloutOrder) -> bool:
     return (before.version, before.duration) == (order.version, order.duration)
 
 
-def _order_of(record: RolloutRecord) -> RolloutOrder:
+def _order_from_record(record: RolloutRecord) -> RolloutOrder:
     state = RolloutState(record.state) if record.state else None
     return RolloutOrder(
         record.pool,
--- a/hibiscusstep/forwarding/rollout_routes.py
+++ b/hibiscusstep/forwarding/rollout_routes.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.rollout_routes: orders of versions as operators see them."""
+"""hibiscusstep.forwarding.rollout_routes: operator endpoint for rollout orders."""
 
 from collections.abc import Callable
 
@@ -14,18 +14,19 @@
 def add_rollout_routes(
     app: web.Application,
     keeper: RolloutKeeper,
-    carried_out: Callable[[], dict[str, dict]],
+    local_rollouts: Callable[[], dict[str, dict]],
 ) -> None:
-    """Let operators see which versions of a pool serve, and how far an order came.
+    """Add ``GET /rollouts``: each pool's current versions and its order's progress.
 
-    ``GET /rollouts`` lists the pools; `carried_out` returns the state of the orders
-    that this instance carries out, by pool.
+    `local_rollouts` returns the state of the orders that this instance carries out, by
+    pool.
     """
 
     async def show(_request: web.Request) -> web.Response:
-        states = carried_out()
+        states = local_rollouts()
         pools = [
-            {**entry, "here": states.get(entry["pool"])} for entry in keeper.listing()
+            {**entry, "here": states.get(entry["pool"])}
+            for entry in keeper.pool_summaries()
         ]
         return web.json_response({"pools": pools})
 
--- a/hibiscusstep/load/rollout_emulator.py
+++ b/hibiscusstep/load/rollout_emulator.py
@@ -11,7 +11,7 @@
 import numpy as np
 
 from hibiscusstep.forwarding.model import DiscoveredTarget
-from hibiscusstep.forwarding.rollout_book import RolloutBook
+from hibiscusstep.forwarding.rollout_book import PoolVersionTable
 from hibiscusstep.load.drawn_rollout import (
     NEW,
     OLD,
@@ -74,7 +74,7 @@
             for version, of in ((OLD, drawn.old), (NEW, drawn.new))
             for n, slowness in enumerate(of)
         }
-        self._book = RolloutBook()
+        self._book = PoolVersionTable()
         self._stale: Plan | None = None
         self._revision = 1
         self._completed = False
@@ -135,7 +135,7 @@
             for t in self._targets.values()
             if t.version == OLD or self._now >= ORDER_AT_S - 1.0
         ]
-        self._book.take_targets(found, self._now)
+        self._book.update_targets(found, self._now)
 
     def _plan(self) -> Plan:
         serving = self._book.serving(POOL)
@@ -170,7 +170,7 @@
         self._take_targets()
         self._revision += 1
         order = RolloutOrder(POOL, NEW, self._drawn.duration, self._revision)
-        self._book.take_order(order, self._now)
+        self._book.apply_order(order, self._now)
         self._write(RolloutState.RUNNING)
 
     def _tick(self) -> None:
@@ -181,7 +181,7 @@
         if rollout and self._now >= self._progress_at + PROGRESS_S:
             self._progress_at = self._now
             number = rollout.planned.number
-            self._book.note_progress(POOL, number, rollout.progress)
+            self._book.set_progress(POOL, number, rollout.progress)
         self._at(self._now + TICK_S, self._tick)
 
     def _kill(self) -> None:
@@ -341,7 +341,7 @@
         if state is RolloutState.COMPLETED:
             self._completed = True
             self._stop_old()
-        self._book.take_order(order, self._now)
+        self._book.apply_order(order, self._now)
         self._replan()
 
     def _stop_old(self) -> None:
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Orders to change a pool's version, end to end: instances, a store and targets."""
+"""Rollout orders end to end, with instances, a store and targets."""
 
 import asyncio
 import contextlib
@@ -12,17 +12,17 @@
 POOL = "pool-a"
 SLOTS = 4
 CALLERS = 8
-# What a bad version may get: a tenth of the requests and fifty.
+# Limit on the requests to a bad version: a tenth of all, and fifty.
 SHARE, SLACK = 0.1, 50
 
 
 class RolloutSite(Site):
-    """A region whose pool has targets of two versions; callers keep asking."""
+    """A region with targets of two versions in its pool, and continuous callers."""
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.ran = Counter()
-        self.asked = 0
+        self.requests_run = Counter()
+        self.calls = 0
         self.statuses = Counter()
         self.fails = lambda number: False
         self._callers = []
@@ -32,7 +32,7 @@
 
     def _script(self, version):
         def run(number, fields, _body):
-            self.ran[version] += 1
+            self.requests_run[version] += 1
             failed = version == "v2" and self.fails(number)
             return [0.004, answer(fields, status=500 if failed else 200)]
 
@@ -64,8 +64,8 @@
 
     async def _call(self):
         while True:
-            self.asked += 1
-            number = self.instances.index(self.running[self.asked % len(self.running)])
+            self.calls += 1
+            number = self.instances.index(self.running[self.calls % len(self.running)])
             with contextlib.suppress(OSError, TimeoutError, Exception):
                 status, _, _ = await self.call("/once/", instance=number)
                 self.statuses[status] += 1
@@ -77,10 +77,10 @@
                 await asyncio.sleep(0.01)
         return self.store.status(POOL)
 
-    async def until_old_ran(self, more=100):
-        """Wait until the old version has run so many requests more."""
-        old = self.ran["v1"]
-        await self.until(lambda: self.ran["v1"] >= old + more)
+    async def until_old_has_run(self, more=100):
+        """Wait until the old version has run `more` further requests."""
+        old = self.requests_run["v1"]
+        await self.until(lambda: self.requests_run["v1"] >= old + more)
 
     async def until(self, condition):
         async with asyncio.timeout(BOUND_S):
@@ -101,25 +101,25 @@
     await site.stop()
 
 
-class TestVersionThatNoOrderNames:
-    async def test_gets_nothing(self, site, caplog):
+class TestVersionWithoutOrder:
+    async def test_receives_nothing(self, site, caplog):
         caplog.set_level(logging.INFO)
         await site.start_pool(instances=1)
         for _ in range(30):
             assert (await site.call("/once/"))[0] == 200
-        assert site.ran == {"v1": 30}
+        assert site.requests_run == {"v1": 30}
         assert any(r.message == "version-barred" for r in caplog.records)
 
-    async def test_gets_nothing_from_an_instance_that_starts_later(self, site):
+    async def test_receives_nothing_from_an_instance_that_starts_later(self, site):
         await site.start_pool(instances=1, old=1, new=3)
         await site.add_instance()
         for _ in range(30):
             await site.call("/once/", instance=1)
-        assert site.ran["v2"] == 0
+        assert site.requests_run["v2"] == 0
 
 
 class TestGoodVersion:
-    async def test_is_completed_in_time_and_gets_all(self, site):
+    async def test_is_completed_in_time_and_receives_all(self, site):
         await site.start_pool()
         site.begin_calls()
         site.store.order(POOL, "v2", 4.0)
@@ -129,22 +129,24 @@
             "State": "completed",
             "To": "v2",
         }
-        await site.until(lambda: all(_serves(i) == {"v2"} for i in site.running))
-        old, new = site.ran["v1"], site.ran["v2"]
-        await site.until(lambda: site.ran["v2"] >= new + 50)
-        # What was granted before is on its way still.
-        assert site.ran["v1"] <= old + CALLERS
+        await site.until(
+            lambda: all(_serving_versions(i) == {"v2"} for i in site.running)
+        )
+        old, new = site.requests_run["v1"], site.requests_run["v2"]
+        await site.until(lambda: site.requests_run["v2"] >= new + 50)
+        # Requests granted before the completion may still arrive.
+        assert site.requests_run["v1"] <= old + CALLERS
 
     async def test_goes_on_when_its_dispatcher_ends(self, site):
         await site.start_pool()
         site.begin_calls()
         site.store.order(POOL, "v2", 8.0)
-        await site.until(lambda: site.ran["v2"] >= 10)
+        await site.until(lambda: site.requests_run["v2"] >= 10)
         dispatcher = site.instances[0].view.dispatcher(POOL)
         await site.end_instance(int(dispatcher[1:]))
         assert (await site.until_status("completed"))["To"] == "v2"
 
-    async def test_is_in_force_already(self, site):
+    async def test_is_already_current(self, site):
         await site.start_pool(instances=1, new=0)
         site.store.order(POOL, "v1", 5.0)
         assert await site.until_status("completed") == {
@@ -154,12 +156,12 @@
         assert (await site.call("/once/"))[0] == 200
 
 
-class TestSight:
-    async def test_an_operator_sees_the_order(self, site):
+class TestOperatorView:
+    async def test_the_endpoint_and_metrics_show_the_order(self, site):
         await site.start_pool(instances=1)
         site.begin_calls()
         site.store.order(POOL, "v2", 30.0)
-        await site.until(lambda: site.ran["v2"] >= 5)
+        await site.until(lambda: site.requests_run["v2"] >= 5)
         address = f"http://{site.instances[0].metrics_address}"
         async with site.session.get(f"{address}/rollouts") as response:
             pools = (await response.json())["pools"]
@@ -194,12 +196,12 @@
         site.begin_calls()
         site.store.order(POOL, "v2", 6.0)
         assert (await site.until_status("rolled_back"))["To"] == "v2"
-        got = site.ran["v2"]
-        assert got <= SHARE * (got + site.ran["v1"]) + SLACK
-        await site.until_old_ran()
-        assert site.ran["v2"] <= got + 1
+        got = site.requests_run["v2"]
+        assert got <= SHARE * (got + site.requests_run["v1"]) + SLACK
+        await site.until_old_has_run()
+        assert site.requests_run["v2"] <= got + 1
 
-    async def test_is_left_alone_while_the_store_is_away(self, site):
+    async def test_receives_nothing_while_the_store_is_unreachable(self, site):
         site.fails = lambda number: number % 2 == 0
         await site.start_pool()
         site.begin_calls()
@@ -210,24 +212,24 @@
             i for i in site.instances if i.view.dispatcher(POOL) == i._settings.name
         )
         await site.until(lambda: dispatcher._rollouts.book[POOL].is_rejected)
-        got = site.ran["v2"]
-        await site.until_old_ran()
-        assert site.ran["v2"] <= got + SLOTS
+        got = site.requests_run["v2"]
+        await site.until_old_has_run()
+        assert site.requests_run["v2"] <= got + SLOTS
         site.store.down = False
         await site.until_status("rolled_back")
 
-    async def test_gets_nothing_after_a_restart_of_all(self, site):
+    async def test_receives_nothing_after_all_instances_restarted(self, site):
         site.fails = lambda number: number % 2 == 0
         await site.start_pool()
         site.begin_calls()
         site.store.order(POOL, "v2", 10.0)
         await site.until_status("rolled_back")
-        got = site.ran["v2"]
+        got = site.requests_run["v2"]
         for number in range(2):
             await site.add_instance()
             await site.end_instance(number)
-        await site.until_old_ran()
-        assert site.ran["v2"] <= got + 1
+        await site.until_old_has_run()
+        assert site.requests_run["v2"] <= got + 1
 
     async def test_may_be_ordered_again(self, site):
         site.fails = lambda number: number % 2 == 0
@@ -247,18 +249,18 @@
         assert (await site.until_status("rolled_back"))["To"] == "v9"
         assert (await site.call("/once/"))[0] == 200
 
-    async def test_withdrawn_midway(self, site):
+    async def test_withdrawn_while_running(self, site):
         await site.start_pool()
         site.begin_calls()
         site.store.order(POOL, "v2", 20.0)
-        await site.until(lambda: site.ran["v2"] >= 5)
+        await site.until(lambda: site.requests_run["v2"] >= 5)
         site.store.remove("rollouts", POOL)
         await site.until(
-            lambda: not any(i._rollouts.book.running for i in site.running)
+            lambda: not any(i._rollouts.book.running_pools for i in site.running)
         )
-        got = site.ran["v2"]
-        await site.until_old_ran()
-        assert site.ran["v2"] <= got + SLOTS
+        got = site.requests_run["v2"]
+        await site.until_old_has_run()
+        assert site.requests_run["v2"] <= got + SLOTS
 
     @pytest.mark.parametrize(
         "spec",
@@ -275,7 +277,7 @@
             ["Service"],
         ],
     )
-    async def test_is_left_out_with_a_reason(self, site, spec, caplog):
+    async def test_malformed_is_logged_and_ignored(self, site, spec, caplog):
         await site.start_pool(instances=1)
         site.store.put("rollouts", POOL, spec)
         await site.until(
@@ -285,7 +287,7 @@
             )
         )
         assert (await site.call("/once/"))[0] == 200
-        assert site.ran["v2"] == 0
+        assert site.requests_run["v2"] == 0
         assert site.store.status(POOL) == {}
 
     async def test_of_an_unknown_pool(self, site):
@@ -296,30 +298,32 @@
 
 
 class TestRestoredStore:
-    async def test_the_status_is_written_again(self, site):
+    async def test_the_status_is_written_again_after_a_restore(self, site):
         await site.start_pool()
         site.begin_calls()
-        kept = site.store.copy()
+        snapshot = site.store.copy()
         site.store.order(POOL, "v2", 4.0)
         await site.until_status("completed")
-        site.store.restore(kept)
+        site.store.restore(snapshot)
         site.store.order(POOL, "v2", 4.0)
         await site.until_status("completed")
-        assert all(_serves(i) == {"v2"} for i in site.running)
+        assert all(_serving_versions(i) == {"v2"} for i in site.running)
 
 
-def _serves(instance):
+def _serving_versions(instance):
     return instance._rollouts.book.serving(POOL)
 
 
-class TestTakeOver:
-    async def test_who_dispatches_next_knows_what_was_used(self, site):
+class TestTakeover:
+    async def test_the_next_dispatcher_knows_the_progress(self, site):
         await site.start_pool(instances=3)
         site.begin_calls()
         site.store.order(POOL, "v2", 30.0)
-        await site.until(lambda: site.ran["v2"] >= 12)
+        await site.until(lambda: site.requests_run["v2"] >= 12)
         others = [i for i in site.instances if i.view.dispatcher(POOL) != _name(i)]
-        await site.until(lambda: all(_planned(i).progress.exposed >= 8 for i in others))
+        await site.until(
+            lambda: all(_planned_rollout(i).progress.exposed >= 8 for i in others)
+        )
         number = int(site.instances[0].view.dispatcher(POOL)[1:])
         await site.end_instance(number)
         await site.until(lambda: any(i._dispatching.rollouts for i in site.running))
@@ -330,13 +334,13 @@
         ]
         assert state["exposed"] >= 8
 
-    async def test_so_does_who_starts_after_all_have_ended(self, site):
+    async def test_progress_survives_a_restart_of_all_instances(self, site):
         await site.start_pool()
         site.begin_calls()
         site.store.order(POOL, "v2", 60.0)
-        await site.until(lambda: site.ran["v2"] >= 12)
+        await site.until(lambda: site.requests_run["v2"] >= 12)
         kind = "hibiscusstep-rollouts"
-        await site.until(lambda: _kept(site, kind).get("exposed", 0) >= 8)
+        await site.until(lambda: _saved_document(site, kind).get("exposed", 0) >= 8)
         for number in range(2):
             await site.end_instance(number)
         await site.add_instance(wait=False)
@@ -346,7 +350,7 @@
         assert book[POOL].progress.exposed >= 8
         assert book.serving(POOL) == {"v1"}
 
-    async def test_a_change_of_targets_is_planned_once(self, site, monkeypatch):
+    async def test_a_target_change_makes_one_plan(self, site, monkeypatch):
         await site.start_pool(instances=1, new=0)
         plans = []
         planner = site.instances[0]._planner
@@ -361,31 +365,31 @@
         assert len(plans) == 1
 
 
-class TestOrderThatARestoredStoreLacksAMoment:
-    async def test_a_version_that_was_rolled_back_stays_so(self, site):
+class TestOrderMissingAfterRestore:
+    async def test_a_rolled_back_version_stays_rolled_back(self, site):
         site.fails = lambda number: number % 2 == 0
         await site.start_pool()
         site.begin_calls()
-        kept = site.store.copy()
+        snapshot = site.store.copy()
         site.store.order(POOL, "v2", 10.0)
         await site.until_status("rolled_back")
-        got = site.ran["v2"]
-        site.store.restore(kept)
-        # The watch ends with the era; the list that follows has no order.
-        eras = [i._rollouts for i in site.running]
-        await site.until(lambda: any(keeper._trusted_at for keeper in eras))
+        got = site.requests_run["v2"]
+        site.store.restore(snapshot)
+        # The watch ends with the store era; the next listing lacks the order.
+        keepers = [i._rollouts for i in site.running]
+        await site.until(lambda: any(keeper._restore_settled_at for keeper in keepers))
         site.store.order(POOL, "v2", 10.0)
         await site.until_status("rolled_back")
-        assert site.ran["v2"] <= got + 1
+        assert site.requests_run["v2"] <= got + 1
 
 
 def _name(instance):
     return instance._settings.name
 
 
-def _planned(instance):
+def _planned_rollout(instance):
     return instance._versions_of(POOL, set()).rollout
 
 
-def _kept(site, kind):
+def _saved_document(site, kind):
     return site.store.objects.get((kind, POOL), {}).get("Spec", {})
