--- a/hibiscusstep/load/drawn_rollout.py
+++ b/hibiscusstep/load/drawn_rollout.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.load.drawn_rollout: pools, orders and versions drawn at random."""
+"""hibiscusstep.load.drawn_rollout: randomly drawn scenarios of rollout orders."""
 
 import enum
 from dataclasses import dataclass
@@ -10,22 +10,21 @@
 __all__ = [
     "Badness",
     "Disturbance",
-    "DrawnRollout",
+    "RolloutScenario",
     "Route",
-    "draw_rollout",
+    "draw_scenario",
 ]
 
-SPEEDS = (0.55, 1.0, 2.8)
-# A request takes longer by this part for each other one at its target.
-CROWDING = 0.05
-# When the order is given, in seconds.
+SLOWNESS_CHOICES = (0.55, 1.0, 2.8)
+# Share by which each other request at a target slows a request down.
+SLOWDOWN_PER_REQUEST = 0.05
+# Emulated time at which the order is given.
 ORDER_AT_S = 3.0
-# Versions before and after.
-OLD, NEW = "v1", "v2"
+OLD_VERSION, NEW_VERSION = "v1", "v2"
 
 
 class Badness(enum.StrEnum):
-    """How a version is bad."""
+    """Defect of the new version."""
 
     NONE = "none"
     FAILS = "fails"
@@ -34,7 +33,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """A kind of request: its part of all, mean seconds or tokens, spread, errors."""
+    """A kind of request.
+
+    Parameters
+    ----------
+    name : str
+        Name of the route.
+    weight : float
+        Relative frequency.
+    size : float
+        Mean answer tokens of an engine, or mean seconds of a plain service.
+    spread : float
+        Standard deviation of the logarithm of the size.
+    error_share : float
+        Share of requests that fail in any version.
+    """
 
     name: str
     weight: float
@@ -45,7 +58,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Disturbance:
-    """Something that happens to some targets, beside the version, for some seconds."""
+    """A temporary fault of some targets, independent of their version.
+
+    Parameters
+    ----------
+    kind : str
+        ``crash``, ``grey`` (a share of the requests fails) or ``slow``.
+    at, seconds : float
+        Start, in emulated time, and duration.
+    targets : frozenset of str
+        Names of the affected targets.
+    """
 
     kind: str
     at: float
@@ -54,8 +77,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DrawnRollout:
-    """A pool, an order, a version and what happens meanwhile.
+class RolloutScenario:
+    """A pool, a rollout order, its new version and the faults during it.
 
     Parameters
     ----------
@@ -64,35 +87,36 @@
     old, new : tuple of float
         Slowness of the targets of each version.
     slots : int
-        Of each target.
+        Slots of each target.
     rate : float
-        Requests a second.
+        Requests per second.
     routes : tuple of Route
-        What is asked.
+        Kinds of requests.
     duration : float
         Seconds from the order to its deadline.
     badness : Badness
-        How the new version is bad.
+        Defect of the new version.
     part, factor : float
-        Part of its answers that are bad, and how many times slower they are.
+        Share of its answers that are bad, and the factor by which they are slower.
     begins : float
-        Seconds after the order from which on it is bad.
+        Seconds after the order at which the defect begins.
     under_load : bool
-        Whether only a target that is nearly full is bad.
+        Whether only targets that are nearly full are bad.
     route : str
-        The only route that is bad; empty for all.
+        The only bad route; empty for all.
     cold_s, cold : float
-        Seconds for which new targets are slower, and by which factor.
+        Seconds for which new targets are slower, and the factor.
     instances : int
-        Among which the requests are spread.
+        Number of instances that send the requests.
     alone : tuple of float
-        Seconds in which a fifth of them dispatch for themselves; empty for none.
+        Start and end of a partition in which a fifth of the instances dispatch for
+        themselves; empty for none.
     kill_at : float
-        When the pool's dispatcher is lost; 0 for never.
+        Time at which the pool's dispatcher is lost; 0 for never.
     store_down : tuple of float
-        Seconds in which the store does not answer; empty for none.
+        Start and end of an outage of the store; empty for none.
     disturbances : tuple of Disturbance
-        What happens to targets.
+        Faults of targets.
     """
 
     engine: bool
@@ -117,66 +141,74 @@
     disturbances: tuple[Disturbance, ...]
 
 
-def draw_rollout(seed: int) -> DrawnRollout:
-    """Return the roll-out of a seed."""
-    draw = np.random.default_rng(seed)
-    engine = bool(draw.random() < 0.6)
-    count = int(round(np.exp(draw.uniform(np.log(2), np.log(70)))))
-    old = tuple(float(s) for s in draw.choice(SPEEDS, count))
+def draw_scenario(seed: int) -> RolloutScenario:
+    """Return the scenario of a seed."""
+    rng = np.random.default_rng(seed)
+    engine = bool(rng.random() < 0.6)
+    count = int(round(np.exp(rng.uniform(np.log(2), np.log(70)))))
+    old = tuple(float(s) for s in rng.choice(SLOWNESS_CHOICES, count))
     new = tuple(
         float(s)
-        for s in draw.choice(SPEEDS, max(1, round(count * draw.uniform(0.5, 1.2))))
+        for s in rng.choice(
+            SLOWNESS_CHOICES, max(1, round(count * rng.uniform(0.5, 1.2)))
+        )
     )
-    slots = int(draw.integers(4, 10, endpoint=True))
+    slots = int(rng.integers(4, 10, endpoint=True))
     routes = tuple(
         Route(
             f"r{n}",
-            float(draw.uniform(0.3, 1.0)),
-            float(draw.uniform(40, 350) if engine else draw.uniform(0.03, 0.15)),
-            float(draw.uniform(0.3, 1.0)),
-            0.14 if n == 1 and draw.random() < 0.5 else float(draw.uniform(0, 0.01)),
+            float(rng.uniform(0.3, 1.0)),
+            float(rng.uniform(40, 350) if engine else rng.uniform(0.03, 0.15)),
+            float(rng.uniform(0.3, 1.0)),
+            0.14 if n == 1 and rng.random() < 0.5 else float(rng.uniform(0, 0.01)),
         )
-        for n in range(int(draw.integers(2, 4, endpoint=True)))
+        for n in range(int(rng.integers(2, 4, endpoint=True)))
     )
     weights = sum(route.weight for route in routes)
     size = sum(route.weight * route.size for route in routes) / weights
     seconds = size * STEP_S + 0.03 if engine else size
-    capacity = sum(slots / (s * seconds * (1 + CROWDING * slots)) for s in old)
-    rate = float(np.clip(capacity * draw.uniform(0.3, 0.85), 5.0, 1000.0))
-    duration = float(draw.choice([12.0, 20.0, 30.0, 45.0]))
-    badness = Badness(draw.choice(["none", "fails", "slow"], p=[0.5, 0.25, 0.25]))
-    onset = str(draw.choice(["at once", "later", "under load", "one route"]))
-    kill_at = ORDER_AT_S + float(draw.uniform(0.1, 0.9)) * duration
-    kill_at = kill_at if draw.random() < 0.3 else 0.0
-    names = [f"{v}-{n}" for v, of in ((OLD, old), (NEW, new)) for n in range(len(of))]
-    return DrawnRollout(
+    capacity = sum(
+        slots / (s * seconds * (1 + SLOWDOWN_PER_REQUEST * slots)) for s in old
+    )
+    rate = float(np.clip(capacity * rng.uniform(0.3, 0.85), 5.0, 1000.0))
+    duration = float(rng.choice([12.0, 20.0, 30.0, 45.0]))
+    badness = Badness(rng.choice(["none", "fails", "slow"], p=[0.5, 0.25, 0.25]))
+    onset = str(rng.choice(["at once", "later", "under load", "one route"]))
+    kill_at = ORDER_AT_S + float(rng.uniform(0.1, 0.9)) * duration
+    kill_at = kill_at if rng.random() < 0.3 else 0.0
+    names = [
+        f"{v}-{n}"
+        for v, of in ((OLD_VERSION, old), (NEW_VERSION, new))
+        for n in range(len(of))
+    ]
+    return RolloutScenario(
         engine, old, new, slots, rate, routes, duration, badness,
-        float(draw.uniform(0.2, 0.8)), float(draw.uniform(4.0, 8.0)),
-        float(draw.uniform(0.2, 0.6) * duration) if onset == "later" else 0.0,
+        float(rng.uniform(0.2, 0.8)), float(rng.uniform(4.0, 8.0)),
+        float(rng.uniform(0.2, 0.6) * duration) if onset == "later" else 0.0,
         onset == "under load",
-        str(draw.choice([r.name for r in routes])) if onset == "one route" else "",
-        float(draw.uniform(0.0, 4.0)), float(draw.uniform(1.0, 2.0)),
-        int(draw.integers(1, 64, endpoint=True)),
-        _span(draw, duration, 0.3),
+        str(rng.choice([r.name for r in routes])) if onset == "one route" else "",
+        float(rng.uniform(0.0, 4.0)), float(rng.uniform(1.0, 2.0)),
+        int(rng.integers(1, 64, endpoint=True)),
+        _draw_interval(rng, duration, 0.3),
         kill_at,
-        _span(draw, duration, 0.2),
+        _draw_interval(rng, duration, 0.2),
         tuple(
-            _disturbance(draw, names, duration)
-            for _ in range(int(draw.integers(0, 3)))
+            _draw_disturbance(rng, names, duration)
+            for _ in range(int(rng.integers(0, 3)))
         ),
     )  # fmt: skip
 
 
-def _span(draw, duration: float, chance: float) -> tuple[float, ...]:
-    if draw.random() >= chance:
+def _draw_interval(rng, duration: float, chance: float) -> tuple[float, ...]:
+    if rng.random() >= chance:
         return ()
-    began = ORDER_AT_S + draw.uniform(0.0, 0.8) * duration
-    return float(began), float(began + draw.uniform(1.0, 5.0))
+    began = ORDER_AT_S + rng.uniform(0.0, 0.8) * duration
+    return float(began), float(began + rng.uniform(1.0, 5.0))
 
 
-def _disturbance(draw, names: list[str], duration: float) -> Disturbance:
-    share = draw.uniform(0.05, 0.2)
-    hit = frozenset(name for name in names if draw.random() < share)
-    at = ORDER_AT_S + draw.uniform(-1.0, 0.9) * duration
-    kind = str(draw.choice(["crash", "grey", "slow"]))
-    return Disturbance(kind, float(at), float(draw.uniform(1.0, 6.5)), hit)
+def _draw_disturbance(rng, names: list[str], duration: float) -> Disturbance:
+    share = rng.uniform(0.05, 0.2)
+    affected = frozenset(name for name in names if rng.random() < share)
+    at = ORDER_AT_S + rng.uniform(-1.0, 0.9) * duration
+    kind = str(rng.choice(["crash", "grey", "slow"]))
+    return Disturbance(kind, float(at), float(rng.uniform(1.0, 6.5)), affected)
--- a/hibiscusstep/load/emulated_target.py
+++ b/hibiscusstep/load/emulated_target.py
@@ -1,16 +1,16 @@
-"""hibiscusstep.load.emulated_target: how a drawn target answers, in virtual time."""
+"""hibiscusstep.load.emulated_target: answers of an emulated target in virtual time."""
 
 from dataclasses import dataclass, field
 
 import numpy as np
 
 from hibiscusstep.load.drawn_rollout import (
-    CROWDING,
-    NEW,
-    OLD,
+    NEW_VERSION,
+    OLD_VERSION,
     ORDER_AT_S,
+    SLOWDOWN_PER_REQUEST,
     Badness,
-    DrawnRollout,
+    RolloutScenario,
     Route,
 )
 from hibiscusstep.routing import messages as m
@@ -18,7 +18,7 @@
 from hibiscusstep.routing.slot_choice import PLAIN_SERVICE_S
 
 __all__ = [
-    "PATIENCE_S",
+    "CALLER_TIMEOUT_S",
     "PROMPT_TOKENS",
     "TOKENS_PER_EVENT",
     "EmulatedRun",
@@ -27,31 +27,31 @@
 
 TOKENS_PER_EVENT = 6
 PROMPT_TOKENS = 500
-# Seconds to a first token of an idle engine, and prompt tokens that it reads a second.
+# Seconds to the first token of an idle engine, and its prefill rate.
 FIRST_TOKEN_S = 0.014
 PREFILL_TOKENS_PER_S = 48_200
-# The shortest answer of a plain service, and of one that fails.
-LEAST_SERVICE_S, LEAST_FAILURE_S = 0.005, 0.01
-# Callers are gone after so many seconds.
-PATIENCE_S = 8.0
-# A target that fails part of its requests, and one that is slow for a while.
-GREY_SHARE, SLOWED = 0.4, 3.0
+# Minimum seconds of an answer of a plain service, and of a failed request.
+MIN_SERVICE_S, MIN_FAILURE_S = 0.005, 0.01
+# Callers cancel a request after this time.
+CALLER_TIMEOUT_S = 8.0
+# Share of requests that a grey target fails, and the slowdown of a slow target.
+GREY_FAILURE_SHARE, SLOW_TARGET_FACTOR = 0.4, 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class EmulatedRun:
-    """How a request goes at a target.
+    """Course of a request at a target.
 
     Parameters
     ----------
     outcome : Outcome
-        How it ends.
+        How the request ends.
     first, seconds : float
         Seconds to its first token (0 for none), and to its end.
     events : int
-        Of its answer.
+        Events of its answer.
     is_bad : bool
-        Whether it is a bad answer of the new version.
+        Whether the answer is a bad one of the new version.
     """
 
     outcome: m.Outcome
@@ -63,98 +63,102 @@
 
 @dataclass(slots=True, eq=False)
 class EmulatedTarget:
-    """A target of a drawn roll-out.
+    """A target in a rollout scenario.
 
     Parameters
     ----------
     name, version : str
-        Which one, and of what.
+        Name and version of the target.
     slowness : float
-        Of its hardware.
-    drawn : DrawnRollout
-        What is played.
+        Slowness of its hardware.
+    drawn : RolloutScenario
+        The scenario.
     draw : numpy.random.Generator
-        Of the answers of all targets.
+        Random numbers for the answers of all targets.
     running : dict of str to Work
-        What it works on.
+        Running requests.
     down_until : float
-        When it is back after a crash.
+        Time at which it has recovered from a crash.
     """
 
     name: str
     version: str
     slowness: float
-    drawn: DrawnRollout
+    drawn: RolloutScenario
     draw: np.random.Generator
     running: dict[str, m.Work] = field(default_factory=dict)
     down_until: float = 0.0
 
     def begin(self, work: m.Work, route: Route, size: float, now: float) -> EmulatedRun:
-        """Take a request; return how it will go.
+        """Start a request and return its course.
 
         Parameters
         ----------
         work : Work
             The request.
         route : Route
-            Its kind.
+            Its route.
         size : float
-            Tokens of its answer, or seconds at a plain service of slowness 1.
+            Tokens of its answer, or its seconds at a plain service of slowness 1.
         now : float
-            Seconds on the emulator's clock.
+            Emulated time in seconds.
         """
-        drawn = self.drawn
+        scenario = self.drawn
         bad = self._is_bad(route, now)
         self.running[work.ask] = work
-        slow = bad and drawn.badness is Badness.SLOW
-        first, seconds, events = self._times(size, drawn.factor if slow else 1.0, now)
+        slow = bad and scenario.badness is Badness.SLOW
+        first, seconds, events = self._times(
+            size, scenario.factor if slow else 1.0, now
+        )
         failed = self.draw.random() < route.error_share or self._is_grey(now)
-        failed |= bad and drawn.badness is Badness.FAILS
+        failed |= bad and scenario.badness is Badness.FAILS
         outcome = m.Outcome.FAILED if failed else m.Outcome.DONE
         if failed:
-            seconds = min(seconds, max(LEAST_FAILURE_S, 0.5 * PLAIN_SERVICE_S))
+            seconds = min(seconds, max(MIN_FAILURE_S, 0.5 * PLAIN_SERVICE_S))
             events = 0
-        if seconds > PATIENCE_S:
-            seconds, outcome = PATIENCE_S, m.Outcome.CANCELLED
-        is_bad = bad and self.version == NEW
+        if seconds > CALLER_TIMEOUT_S:
+            seconds, outcome = CALLER_TIMEOUT_S, m.Outcome.CANCELLED
+        is_bad = bad and self.version == NEW_VERSION
         return EmulatedRun(outcome, first, seconds, events, is_bad)
 
     def _times(
         self, size: float, factor: float, now: float
     ) -> tuple[float, float, int]:
-        """Return the seconds to the first token and the end, and the events."""
-        crowd = 1 + CROWDING * (len(self.running) - 1)
-        pace = self.slowness * crowd * self._slowed(now) * factor
+        """Return the seconds to the first token and to the end, and the events."""
+        load_factor = 1 + SLOWDOWN_PER_REQUEST * (len(self.running) - 1)
+        time_factor = self.slowness * load_factor * self._slowdown(now) * factor
         if not self.drawn.engine:
-            return 0.0, max(LEAST_SERVICE_S, size) * pace, 0
-        first = (FIRST_TOKEN_S + PROMPT_TOKENS / PREFILL_TOKENS_PER_S) * pace
+            return 0.0, max(MIN_SERVICE_S, size) * time_factor, 0
+        first = (FIRST_TOKEN_S + PROMPT_TOKENS / PREFILL_TOKENS_PER_S) * time_factor
         events = max(1, round(size / TOKENS_PER_EVENT))
-        seconds = first + events * TOKENS_PER_EVENT * STEP_S * pace
+        seconds = first + events * TOKENS_PER_EVENT * STEP_S * time_factor
         return first, seconds, events
 
     def _is_bad(self, route: Route, now: float) -> bool:
-        drawn = self.drawn
-        if self.version == OLD or drawn.badness is Badness.NONE:
+        scenario = self.drawn
+        if self.version == OLD_VERSION or scenario.badness is Badness.NONE:
             return False
-        if now < ORDER_AT_S + drawn.begins:
+        if now < ORDER_AT_S + scenario.begins:
             return False
-        if drawn.under_load and len(self.running) < 0.7 * drawn.slots:
+        if scenario.under_load and len(self.running) < 0.7 * scenario.slots:
             return False
-        if drawn.route and route.name != drawn.route:
+        if scenario.route and route.name != scenario.route:
             return False
-        return bool(self.draw.random() < drawn.part)
+        return bool(self.draw.random() < scenario.part)
 
-    def _slowed(self, now: float) -> float:
-        slow = SLOWED if self._is_hit("slow", now) else 1.0
-        drawn = self.drawn
-        if self.version == NEW and now < ORDER_AT_S - 1.0 + drawn.cold_s:
-            slow *= drawn.cold
-        return slow
+    def _slowdown(self, now: float) -> float:
+        factor = SLOW_TARGET_FACTOR if self._is_affected("slow", now) else 1.0
+        scenario = self.drawn
+        if self.version == NEW_VERSION and now < ORDER_AT_S - 1.0 + scenario.cold_s:
+            factor *= scenario.cold
+        return factor
 
     def _is_grey(self, now: float) -> bool:
-        return self._is_hit("grey", now) and self.draw.random() < GREY_SHARE
+        return (
+            self._is_affected("grey", now) and self.draw.random() < GREY_FAILURE_SHARE
+        )
 
-    def _is_hit(self, kind: str, now: float) -> bool:
+    def _is_affected(self, kind: str, now: float) -> bool:
         return any(
             d.kind == kind and d.at <= now < d.at + d.seconds and self.name in d.targets
             for d in self.drawn.disturbances
--- a/hibiscusstep/load/rollout_report.py
+++ b/hibiscusstep/load/rollout_report.py
@@ -1,9 +1,9 @@
-"""hibiscusstep.load.rollout_report: what came of drawn orders, as a table."""
+"""hibiscusstep.load.rollout_report: table of the results of emulated orders."""
 
 from collections import Counter
 from collections.abc import Iterator
 
-from hibiscusstep.load.drawn_rollout import draw_rollout
+from hibiscusstep.load.drawn_rollout import draw_scenario
 from hibiscusstep.load.rollout_emulator import RolloutEmulator
 from hibiscusstep.load.rollout_result import RolloutResult
 from hibiscusstep.rollout.order import RolloutState
@@ -12,12 +12,12 @@
 
 
 def play_rollout(seed: int, test: str = "cusum") -> RolloutResult:
-    """Return what comes of the order that a seed draws."""
-    return RolloutEmulator(draw_rollout(seed), seed, test).run()
+    """Return the result of the order in the scenario of a seed."""
+    return RolloutEmulator(draw_scenario(seed), seed, test).run()
 
 
 def rollout_table(played: dict[int, RolloutResult]) -> Iterator[str]:
-    """Yield a row for each seed, and totals.
+    """Yield a header, a row for each seed, and totals.
 
     Parameters
     ----------
@@ -26,19 +26,19 @@
     """
     yield (
         "seed | version | ended | after s | exposed | allowed | bad answers | "
-        "ms from the 50th to the last request | cut | findings | why"
+        "ms from the 50th bad answer to the last request | cut | findings | reason"
     )
     totals: Counter[str] = Counter()
     for seed, result in played.items():
-        drawn = draw_rollout(seed)
-        findings = result.findings(drawn.duration)
+        scenario = draw_scenario(seed)
+        findings = result.findings(scenario.duration)
         yield " | ".join(
             str(cell)
             for cell in (
                 seed,
-                drawn.badness if result.bad else "good",
+                scenario.badness if result.bad else "good",
                 result.state or "running",
-                f"{result.concluded_after:.1f} of {drawn.duration:g}",
+                f"{result.concluded_after:.1f} of {scenario.duration:g}",
                 result.exposed,
                 round(result.allowed),
                 result.bad_answers,
@@ -49,7 +49,7 @@
             )
         )
         totals["bad" if result.bad else "good"] += 1
-        totals["answers cut by the move"] += result.cut
+        totals["requests cut by the completion"] += result.cut
         totals["requests"] += result.asked
         if result.bad and result.state is RolloutState.ROLLED_BACK:
             totals["bad and rolled back"] += 1
--- a/hibiscusstep/load/rollout_result.py
+++ b/hibiscusstep/load/rollout_result.py
@@ -1,46 +1,46 @@
-"""hibiscusstep.load.rollout_result: what came of an emulated order."""
+"""hibiscusstep.load.rollout_result: result of an emulated rollout order."""
 
 from dataclasses import dataclass, field
 
 from hibiscusstep.rollout.order import RolloutState
 
-__all__ = ["BAD_ANSWERS", "RolloutResult"]
+__all__ = ["TOLERATED_BAD_ANSWERS", "RolloutResult"]
 
-# A version that was taken back gets nothing later than this after its last bad answer
-# that is tolerated.
-BAD_ANSWERS = 50
-ROLLBACK_S = 5.0
+# A bad version must receive no request later than this after its 50th bad answer.
+TOLERATED_BAD_ANSWERS = 50
+MAX_ROLLBACK_S = 5.0
 
 
 @dataclass(slots=True)
 class RolloutResult:
-    """What came of an order.
+    """Result of an order.
 
     Parameters
     ----------
     bad : bool
         Whether the version is bad.
     state : RolloutState or None
-        How it ended; None if it did not.
+        Final state of the order; None if it did not end.
     reason : str
-        Why.
+        Reason for the final state.
     concluded_after : float
         Seconds from the order to the status in the store; 0 if it did not end.
     requests, exposed : int
-        That reached targets between the order and its deadline, and those of them that
-        reached the version.
+        Requests that reached targets between the order and its deadline, and those of
+        them that reached the new version.
     allowed : float
-        Most that a bad version may get.
+        Maximum number of requests that a bad version may receive.
     bad_answers : int
-        Bad answers of the version.
+        Bad answers of the new version.
     late_ms : float
-        From its 50th bad answer to the last request to it; 0 if there are fewer.
+        Milliseconds from its 50th bad answer to the last request to it; 0 if there are
+        fewer.
     cut : int
-        Requests that ran at old targets when those were stopped.
+        Requests that were running at old targets when those were stopped.
     asked, refused : int
-        Requests that callers sent, and those that were refused.
+        Requests sent by callers, and those that were refused.
     parts : list of tuple
-        Seconds since the order, and the part of the requests that the version gets.
+        Seconds since the order, and the share of requests to the new version.
     """
 
     bad: bool
@@ -58,13 +58,13 @@
     parts: list[tuple[float, float]] = field(default_factory=list)
 
     def findings(self, duration: float) -> list[str]:
-        """Return what should not have been."""
+        """Return the violated requirements."""
         found = []
         if self.bad and self.exposed > self.allowed:
             found.append("EXPOSURE")
-        if self.bad and self.late_ms > 1000 * ROLLBACK_S:
+        if self.bad and self.late_ms > 1000 * MAX_ROLLBACK_S:
             found.append("late roll-back")
-        if self.bad and self.bad_answers >= BAD_ANSWERS:
+        if self.bad and self.bad_answers >= TOLERATED_BAD_ANSWERS:
             if self.state is not RolloutState.ROLLED_BACK:
                 found.append("bad version not rolled back")
         if not self.bad:
--- a/tests/test_rollout_book.py
+++ b/tests/test_rollout_book.py
@@ -270,11 +270,13 @@
 
     @rule(version=st.sampled_from(["v2", "v3"]), duration=st.sampled_from([5.0, 9.0]))
     def order(self, version, duration):
-        known = self.store
-        if known and (known.version, known.duration) == (version, duration):
+        stored = self.store
+        if stored and (stored.version, stored.duration) == (version, duration):
             return
-        state, of = (known.state, known.state_version) if known else (None, "")
-        self._write(RolloutOrder(POOL, version, duration, 0, state, of))
+        state, state_version = (
+            (stored.state, stored.state_version) if stored else (None, "")
+        )
+        self._write(RolloutOrder(POOL, version, duration, 0, state, state_version))
         self.spec_revision = self.revision
 
     @rule()
@@ -293,26 +295,26 @@
     @rule(at=st.integers(0, 2), state=st.sampled_from(list(RolloutState)))
     def conclude(self, at, state):
         """Conclude the order of a dispatching instance, without writing its status."""
-        known = self.tables[at][POOL]
-        if not known.is_running or state is RolloutState.RUNNING:
+        entry = self.tables[at][POOL]
+        if not entry.is_running or state is RolloutState.RUNNING:
             return
-        self.tables[at].conclude(POOL, known.number, state)
+        self.tables[at].conclude(POOL, entry.number, state)
 
     @rule(at=st.integers(0, 2))
     def write(self, at):
-        known = self.tables[at][POOL]
-        wanted = known.state_to_write
-        if wanted is None or self.store is None:
+        entry = self.tables[at][POOL]
+        state = entry.state_to_write
+        if state is None or self.store is None:
             return
-        if known.order.revision != self.store.revision:
+        if entry.order.revision != self.store.revision:
             return
-        order = known.order
+        order = entry.order
         self._write(
-            RolloutOrder(POOL, order.version, order.duration, 0, wanted, order.version)
+            RolloutOrder(POOL, order.version, order.duration, 0, state, order.version)
         )
-        if wanted is RolloutState.ROLLED_BACK:
+        if state is RolloutState.ROLLED_BACK:
             self.rejected.add(self.spec_revision)
-        if wanted is RolloutState.COMPLETED:
+        if state is RolloutState.COMPLETED:
             self.current = order.version
         self.tables[at].apply_order(self.store, self.now)
 
--- a/tests/test_rollout_emulator.py
+++ b/tests/test_rollout_emulator.py
@@ -1,33 +1,34 @@
-"""hibiscusstep.load.rollout_emulator: drawn orders on the product's dispatcher."""
+"""hibiscusstep.load.rollout_emulator: random scenarios on the real dispatcher."""
 
 import pytest
 from click.testing import CliRunner
 
 from hibiscusstep.cmdline.load import main
-from hibiscusstep.load.drawn_rollout import draw_rollout
+from hibiscusstep.load.drawn_rollout import draw_scenario
 from hibiscusstep.load.rollout_report import play_rollout, rollout_table
 from hibiscusstep.rollout.order import RolloutState
 
 
-class TestDrawnOrders:
-    # Good and bad versions, a dispatcher that is lost, crashes, grey and slow targets.
+class TestRandomScenarios:
+    # Good and bad versions, a lost dispatcher, crashes, grey and slow targets.
     SEEDS = (3, 6, 11, 24, 30, 35)
 
     @pytest.mark.parametrize("seed", SEEDS)
-    def test_end_as_they_should(self, seed):
+    def test_no_requirement_is_violated(self, seed):
         result = play_rollout(seed)
-        assert result.findings(draw_rollout(seed).duration) == []
+        assert result.findings(draw_scenario(seed).duration) == []
 
-    # Bad versions that were completed: bad later, under load, or on one route only.
-    COMPLETED_ONCE = (1, 19, 29, 37, 114, 178, 196)
+    # Regression: bad versions that were once completed; they are bad later, under load,
+    # or on one route only.
+    REGRESSION_SEEDS = (1, 19, 29, 37, 114, 178, 196)
 
-    @pytest.mark.parametrize("seed", COMPLETED_ONCE)
+    @pytest.mark.parametrize("seed", REGRESSION_SEEDS)
     def test_a_bad_version_is_rolled_back_in_time(self, seed):
         result = play_rollout(seed)
         assert result.state is RolloutState.ROLLED_BACK
-        assert result.findings(draw_rollout(seed).duration) == []
+        assert result.findings(draw_scenario(seed).duration) == []
 
-    def test_a_seed_gives_one_run(self):
+    def test_runs_are_deterministic(self):
         assert play_rollout(3) == play_rollout(3)
 
     def test_the_command(self, tmp_path):
