--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -55,7 +55,7 @@
     """Randomly drawn answers of two versions, and a comparison that observes them."""
 
     def __init__(self, seed, targets=4, test="cusum"):
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.comparison = VersionComparison(test)
         self.targets = targets
         self.now = 0.0
@@ -86,13 +86,13 @@
 
     def _add(self, name, new, fails, slow, only=None):
         self.now += 0.01
-        number = self.draw.randrange(self.targets)
+        number = self.rng.randrange(self.targets)
         hit = only is None or number == only
-        failed = self.draw.random() < (fails if hit else 0.01)
-        ratio = (1.0 + number) * self.draw.lognormvariate(0.0, 0.4)
-        if self.draw.random() < slow:
+        failed = self.rng.random() < (fails if hit else 0.01)
+        ratio = (1.0 + number) * self.rng.lognormvariate(0.0, 0.4)
+        if self.rng.random() < slow:
             ratio *= 5.0
-        route = f"r{self.draw.randrange(3)}"
+        route = f"r{self.rng.randrange(3)}"
         answer = Answer(f"{name}{number}", route, failed, ratio=ratio)
         self.comparison.observe(answer, new=new, now=self.now)
 
@@ -153,12 +153,12 @@
     def test_a_version_bad_under_load_only_is_rejected(self):
         """Guards against its few bad answers being outweighed by all the others."""
         comparison = VersionComparison()
-        draw = random.Random(3)
+        rng = random.Random(3)
         bad = 0
         for number in range(600):
             now = 0.01 * number
             new, loaded = number % 5 == 0, number % 20 == 0
-            failed = new and loaded and draw.random() < 0.8
+            failed = new and loaded and rng.random() < 0.8
             bad += failed
             name = f"{'new' if new else 'old'}{number % 3}"
             answer = Answer(name, f"r{number % 4}", failed, ratio=1.0, loaded=loaded)
@@ -194,13 +194,13 @@
         The fast answers of a target end first, so later ones look slow beside them.
         """
         comparison = VersionComparison()
-        draw = random.Random(1)
+        rng = random.Random(1)
         for number in range(400):
-            ratio = draw.lognormvariate(0.0, 0.6)
+            ratio = rng.lognormvariate(0.0, 0.6)
             old = Answer(f"old{number % 4}", "r", False, ratio=ratio)
             comparison.observe(old, new=False, now=0.01 * number)
         comparison.begin_full_traffic(4.0)
-        ratios = sorted(draw.lognormvariate(0.0, 0.6) for _ in range(400))
+        ratios = sorted(rng.lognormvariate(0.0, 0.6) for _ in range(400))
         for number, ratio in enumerate(ratios):
             new = Answer(f"new{number % 40}", "r", False, ratio=ratio)
             comparison.observe(new, new=True, now=4.0 + 0.005 * number)
@@ -256,13 +256,13 @@
 class TestRollout:
     def _serve(self, rollout, seconds, rate=100, failing=0.0, start=0.0):
         """Send requests; return when the order ended, or None."""
-        draw = random.Random(1)
+        rng = random.Random(1)
         for number in range(int(seconds * rate)):
             now = start + number / rate
             exposed = rollout.may_expose()
             rollout.count(exposed)
             name = "new" if exposed else "old"
-            failed = exposed and draw.random() < failing
+            failed = exposed and rng.random() < failing
             answer = Answer(f"{name}{number % 3}", "r", failed, ratio=1.0)
             rollout.comparison.observe(answer, new=exposed, now=now)
             if number % 5 == 0:
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -196,10 +196,10 @@
         site.begin_calls()
         site.store.order(POOL, "v2", 6.0)
         assert (await site.until_status("rolled_back"))["To"] == "v2"
-        got = site.requests_run["v2"]
-        assert got <= SHARE * (got + site.requests_run["v1"]) + SLACK
+        received = site.requests_run["v2"]
+        assert received <= SHARE * (received + site.requests_run["v1"]) + SLACK
         await site.until_old_has_run()
-        assert site.requests_run["v2"] <= got + 1
+        assert site.requests_run["v2"] <= received + 1
 
     async def test_receives_nothing_while_the_store_is_unreachable(self, site):
         site.fails = lambda number: number % 2 == 0
@@ -212,9 +212,9 @@
             i for i in site.instances if i.view.dispatcher(POOL) == i._settings.name
         )
         await site.until(lambda: dispatcher._rollouts.book[POOL].is_rejected)
-        got = site.requests_run["v2"]
+        received = site.requests_run["v2"]
         await site.until_old_has_run()
-        assert site.requests_run["v2"] <= got + SLOTS
+        assert site.requests_run["v2"] <= received + SLOTS
         site.store.down = False
         await site.until_status("rolled_back")
 
@@ -224,12 +224,12 @@
         site.begin_calls()
         site.store.order(POOL, "v2", 10.0)
         await site.until_status("rolled_back")
-        got = site.requests_run["v2"]
+        received = site.requests_run["v2"]
         for number in range(2):
             await site.add_instance()
             await site.end_instance(number)
         await site.until_old_has_run()
-        assert site.requests_run["v2"] <= got + 1
+        assert site.requests_run["v2"] <= received + 1
 
     async def test_may_be_ordered_again(self, site):
         site.fails = lambda number: number % 2 == 0
@@ -258,9 +258,9 @@
         await site.until(
             lambda: not any(i._rollouts.book.running_pools for i in site.running)
         )
-        got = site.requests_run["v2"]
+        received = site.requests_run["v2"]
         await site.until_old_has_run()
-        assert site.requests_run["v2"] <= got + SLOTS
+        assert site.requests_run["v2"] <= received + SLOTS
 
     @pytest.mark.parametrize(
         "spec",
@@ -373,14 +373,14 @@
         snapshot = site.store.copy()
         site.store.order(POOL, "v2", 10.0)
         await site.until_status("rolled_back")
-        got = site.requests_run["v2"]
+        received = site.requests_run["v2"]
         site.store.restore(snapshot)
         # The watch ends with the store era; the next listing lacks the order.
         keepers = [i._rollouts for i in site.running]
         await site.until(lambda: any(keeper._restore_settled_at for keeper in keepers))
         site.store.order(POOL, "v2", 10.0)
         await site.until_status("rolled_back")
-        assert site.requests_run["v2"] <= got + 1
+        assert site.requests_run["v2"] <= received + 1
 
 
 def _name(instance):
