--- a/hibiscusstep/forwarding/quarantine_routes.py
+++ b/hibiscusstep/forwarding/quarantine_routes.py
@@ -23,9 +23,7 @@
         try:
             fingerprint = int(request.match_info["fingerprint"], 16)
         except ValueError:
-            return web.Response(
-                status=400, text="the fingerprint must be a hexadecimal number\n"
-            )
+            return web.Response(status=400, text="a hexadecimal number is wanted\n")
         was_suspected = quarantine.clear_request(fingerprint, why="operator")
         return web.Response(status=204 if was_suspected else 404)
 
--- a/hibiscusstep/forwarding/standing.py
+++ b/hibiscusstep/forwarding/standing.py
@@ -10,7 +10,7 @@
 __all__ = ["Standing"]
 
 _TITLE = "This request is quarantined"
-_DETAIL = "Targets crashed while running it, so it is not sent to any other target."
+_DETAIL = "Targets crashed each time that they ran it, so it is sent to no other."
 
 
 class Standing:
--- a/hibiscusstep/routing/dispatcher.py
+++ b/hibiscusstep/routing/dispatcher.py
@@ -89,7 +89,7 @@
 
     @singledispatchmethod
     def _take(self, message, now: float) -> None:
-        raise TypeError(f"not a dispatcher message: {message!r}")
+        raise TypeError(f"unknown dispatcher message: {message!r}")
 
     @_take.register
     def _ask(self, message: m.Ask, now: float) -> None:
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -354,9 +354,9 @@
         await site.start_pool(instances=1, new=0)
         plans = []
         planner = site.instances[0]._planner
-        make = planner.make
+        build_plan = planner.build_plan
         monkeypatch.setattr(
-            planner, "make", lambda *args: plans.append(1) or make(*args)
+            planner, "build_plan", lambda *args: plans.append(1) or build_plan(*args)
         )
         site.store.put("servers", "old1", site.targets[1].entry(POOL, slots=7))
         await site.until(lambda: site.instances[0].targets["old1"].slots == 7)
@@ -388,7 +388,7 @@
 
 
 def _planned_rollout(instance):
-    return instance._versions_of(POOL, set()).rollout
+    return instance._planned_versions(POOL, set()).rollout
 
 
 def _saved_document(site, kind):
