--- a/examples/decision_cost.py
+++ b/examples/decision_cost.py
@@ -13,8 +13,8 @@
 import click
 
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
-from hibiscusstep.routing.slots import SlotDispatcher
+from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 
 SLOTS = 10
 RANKS = 3
--- a/examples/slopes.py
+++ b/examples/slopes.py
@@ -31,7 +31,7 @@
 from hibiscusstep.peerlink import Authenticator, PeerLinks
 from hibiscusstep.platform.settings import HEARTBEAT_INTERVAL_S, SUSPECT_AFTER_S
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.dispatcher import Dispatcher
+from hibiscusstep.routing.policy_dispatcher import Dispatcher
 from hibiscusstep.store import InstanceRecord
 from hibiscusstep.stores.memory import MemoryPlatform
 
--- a/hibiscusstep/admission.py
+++ b/hibiscusstep/admission.py
@@ -11,7 +11,7 @@
 
 from hibiscusstep.configuration.models import Configuration, Route, hash_key
 from hibiscusstep.problem import Problem
-from hibiscusstep.routing.estimate import PREFIX_SIZES
+from hibiscusstep.routing.target_estimate import PREFIX_SIZES
 
 __all__ = ["Admitted", "CallerHead", "admit", "authenticate", "find_route"]
 
--- a/hibiscusstep/delivery.py
+++ b/hibiscusstep/delivery.py
@@ -20,7 +20,7 @@
 from hibiscusstep.progress import Progress
 from hibiscusstep.routing.messages import Outcome as Ending
 from hibiscusstep.routing.messages import Reason
-from hibiscusstep.routing.retries import RetryBudget
+from hibiscusstep.routing.retry_budget import RetryBudget
 from hibiscusstep.sink import Sink
 
 __all__ = ["Delivery", "Services"]
--- a/hibiscusstep/dispatching.py
+++ b/hibiscusstep/dispatching.py
@@ -35,7 +35,7 @@
     StatusReply,
 )
 from hibiscusstep.peerlink import Send
-from hibiscusstep.rollout.news import RolloutNews
+from hibiscusstep.rollout.rollout_update import RolloutNews
 from hibiscusstep.routing import messages as m
 from hibiscusstep.target import get_target_by_kind
 
--- a/hibiscusstep/duty.py
+++ b/hibiscusstep/duty.py
@@ -5,7 +5,7 @@
 
 from hibiscusstep.peer import PoolLearnt, WorkInfo
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.base import PoolDispatcher
+from hibiscusstep.routing.pool_dispatcher import PoolDispatcher
 
 __all__ = ["TICK_S", "Duty", "learnt_of", "work_of"]
 
--- a/hibiscusstep/entry.py
+++ b/hibiscusstep/entry.py
@@ -50,8 +50,8 @@
     StatusReply,
 )
 from hibiscusstep.peerlink import LinkLost, PeerLinks, Send
-from hibiscusstep.routing.dispatcher import Dispatcher
-from hibiscusstep.routing.retries import RetryBudget
+from hibiscusstep.routing.policy_dispatcher import Dispatcher
+from hibiscusstep.routing.retry_budget import RetryBudget
 from hibiscusstep.store import Platform, get_platform_by_name
 from hibiscusstep.supervisor import Child, Restart, Supervisor
 from hibiscusstep.targets.http import TargetSessions
--- a/hibiscusstep/forwarding/border.py
+++ b/hibiscusstep/forwarding/caller_frontend.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.border: the HTTP server for callers."""
+"""hibiscusstep.forwarding.caller_frontend: the HTTP server for callers."""
 
 import asyncio
 import contextlib
@@ -7,16 +7,16 @@
 from aiohttp import web
 
 from hibiscusstep.forwarding.exchange import Exchange
-from hibiscusstep.forwarding.incoming import ForwardingContext, Incoming
+from hibiscusstep.forwarding.incoming_request import ForwardingContext, Incoming
+from hibiscusstep.forwarding.local_response import local_response
 from hibiscusstep.forwarding.model import (
     CustomerRule,
     ForwardRoute,
     IngressLimits,
     RoutingTable,
 )
-from hibiscusstep.forwarding.own_answer import local_response
 from hibiscusstep.forwarding.quota import QuotaKeeper
-from hibiscusstep.forwarding.quota_claim import QUOTA_RETRY_S, QuotaClaim
+from hibiscusstep.forwarding.quota_request import QUOTA_RETRY_S, QuotaClaim
 from hibiscusstep.log import decision
 
 __all__ = ["CallerFrontend"]
--- a/hibiscusstep/forwarding/crashes.py
+++ b/hibiscusstep/forwarding/crash_detector.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.crashes: detects crashes of targets."""
+"""hibiscusstep.forwarding.crash_detector: detects crashes of targets."""
 
 import asyncio
 import logging
--- a/hibiscusstep/forwarding/surroundings.py
+++ b/hibiscusstep/forwarding/environment.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.surroundings: platform-specific parts of an instance."""
+"""hibiscusstep.forwarding.environment: platform-specific parts of an instance."""
 
 import socket
 from collections.abc import Callable
--- a/hibiscusstep/forwarding/events.py
+++ b/hibiscusstep/forwarding/event_splitter.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.events: splits a byte stream into server-sent events."""
+"""hibiscusstep.forwarding.event_splitter: splitting of a stream into events."""
 
 __all__ = ["EventSplitter"]
 
--- a/hibiscusstep/forwarding/exchange.py
+++ b/hibiscusstep/forwarding/exchange.py
@@ -9,16 +9,16 @@
 from hibiscusstep.errors import TargetError
 from hibiscusstep.forwarding.connections import Connection, TargetResponse
 from hibiscusstep.forwarding.dialect import AnswerHead, Order
-from hibiscusstep.forwarding.events import EventSplitter
-from hibiscusstep.forwarding.incoming import ForwardingContext, Incoming
+from hibiscusstep.forwarding.event_splitter import EventSplitter
+from hibiscusstep.forwarding.grant_client import GrantClient, Refusal
+from hibiscusstep.forwarding.incoming_request import ForwardingContext, Incoming
+from hibiscusstep.forwarding.local_response import local_response
 from hibiscusstep.forwarding.model import (
     DiscoveredTarget,
     Repeat,
 )
-from hibiscusstep.forwarding.own_answer import local_response
-from hibiscusstep.forwarding.pace import StreamTiming
-from hibiscusstep.forwarding.placement import GrantClient, Refusal
-from hibiscusstep.forwarding.standing import Standing
+from hibiscusstep.forwarding.quarantine_status import Standing
+from hibiscusstep.forwarding.stream_timing import StreamTiming
 from hibiscusstep.log import decision
 from hibiscusstep.routing import messages as m
 
--- a/hibiscusstep/forwarding/placement.py
+++ b/hibiscusstep/forwarding/grant_client.py
@@ -1,13 +1,13 @@
-"""hibiscusstep.forwarding.placement: obtains a target for a request."""
+"""hibiscusstep.forwarding.grant_client: obtains a target for a request."""
 
 import asyncio
 from dataclasses import dataclass
 
-from hibiscusstep.forwarding.incoming import ForwardingContext, Incoming
+from hibiscusstep.forwarding.incoming_request import ForwardingContext, Incoming
 from hibiscusstep.forwarding.model import DiscoveredTarget
-from hibiscusstep.forwarding.pace import StreamTiming
-from hibiscusstep.forwarding.quota_claim import QUOTA_RETRY_S
-from hibiscusstep.forwarding.standing import Standing
+from hibiscusstep.forwarding.quarantine_status import Standing
+from hibiscusstep.forwarding.quota_request import QUOTA_RETRY_S
+from hibiscusstep.forwarding.stream_timing import StreamTiming
 from hibiscusstep.grants import Ended, Granted, GrantRequest, Refused, Started
 from hibiscusstep.mailbox import MailboxFull
 from hibiscusstep.peer import WorkInfo
--- a/hibiscusstep/forwarding/left_out.py
+++ b/hibiscusstep/forwarding/ignored_objects.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.left_out: ignored objects, reported once per revision."""
+"""hibiscusstep.forwarding.ignored_objects: objects ignored once per revision."""
 
 __all__ = ["LeftOut"]
 
--- a/hibiscusstep/forwarding/incoming.py
+++ b/hibiscusstep/forwarding/incoming_request.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.incoming: admitted requests and shared services."""
+"""hibiscusstep.forwarding.incoming_request: admitted requests and shared services."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,9 +14,9 @@
 from hibiscusstep.forwarding.metrics import ForwardingMetrics
 from hibiscusstep.forwarding.model import CustomerRule, DiscoveredTarget, ForwardRoute
 from hibiscusstep.forwarding.quarantine import Quarantine
-from hibiscusstep.forwarding.quota_claim import QuotaClaim
-from hibiscusstep.forwarding.rests import TargetRests
-from hibiscusstep.forwarding.retries import WindowedRetryBudget
+from hibiscusstep.forwarding.quota_request import QuotaClaim
+from hibiscusstep.forwarding.target_backoff import TargetRests
+from hibiscusstep.forwarding.windowed_retry_budget import WindowedRetryBudget
 
 __all__ = ["ForwardingContext", "Incoming"]
 
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -15,27 +15,27 @@
 from hibiscusstep.desk import Desk
 from hibiscusstep.dispatching import Dispatching
 from hibiscusstep.errors import ConfigurationError
-from hibiscusstep.forwarding.beliefs import BeliefKeeper
-from hibiscusstep.forwarding.border import CallerFrontend
 from hibiscusstep.forwarding.bounds import Bounds
+from hibiscusstep.forwarding.caller_frontend import CallerFrontend
 from hibiscusstep.forwarding.catalog import Catalog, Follow, SaidLeaving, TableNews
 from hibiscusstep.forwarding.connections import ConnectionPool
-from hibiscusstep.forwarding.incoming import ForwardingContext
-from hibiscusstep.forwarding.kept_use import KeptUseWorker
+from hibiscusstep.forwarding.environment import Surroundings
+from hibiscusstep.forwarding.incoming_request import ForwardingContext
 from hibiscusstep.forwarding.metrics import ForwardingMetrics
 from hibiscusstep.forwarding.model import DiscoveredTarget, RoutingTable
-from hibiscusstep.forwarding.news import to_news
 from hibiscusstep.forwarding.planning import PlannedVersions, Planner
 from hibiscusstep.forwarding.quarantine import Quarantine
 from hibiscusstep.forwarding.quarantine_routes import add_quarantine_routes
 from hibiscusstep.forwarding.quota import CustomersChanged, QuotaKeeper
-from hibiscusstep.forwarding.rests import TargetRests
-from hibiscusstep.forwarding.retries import WindowedRetryBudget
 from hibiscusstep.forwarding.rollout_routes import add_rollout_routes
 from hibiscusstep.forwarding.rollouts import RolloutKeeper, TargetsChanged
+from hibiscusstep.forwarding.saved_usage import KeptUseWorker
 from hibiscusstep.forwarding.serving import serve
-from hibiscusstep.forwarding.spread import Spread
-from hibiscusstep.forwarding.surroundings import Surroundings
+from hibiscusstep.forwarding.state_distributor import Spread
+from hibiscusstep.forwarding.target_backoff import TargetRests
+from hibiscusstep.forwarding.target_estimates import BeliefKeeper
+from hibiscusstep.forwarding.target_messages import to_news
+from hibiscusstep.forwarding.windowed_retry_budget import WindowedRetryBudget
 from hibiscusstep.log import decision, dropped_lines, keep_flushing
 from hibiscusstep.mailbox import Worker
 from hibiscusstep.membership.grouped import GroupedMembership
@@ -70,7 +70,7 @@
     UsageHistory,
 )
 from hibiscusstep.peerlink import LinkLost, PeerLinks
-from hibiscusstep.routing.slots import SlotDispatcher
+from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 from hibiscusstep.store import Change, StoreRestored
 from hibiscusstep.supervisor import Child, Restart, Supervisor
 
--- a/hibiscusstep/forwarding/own_answer.py
+++ b/hibiscusstep/forwarding/local_response.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.own_answer: responses that an instance creates itself."""
+"""hibiscusstep.forwarding.local_response: responses that an instance creates itself."""
 
 import orjson
 from aiohttp import web
--- a/hibiscusstep/forwarding/planning.py
+++ b/hibiscusstep/forwarding/planning.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from hibiscusstep.forwarding.left_out import LeftOut
+from hibiscusstep.forwarding.ignored_objects import LeftOut
 from hibiscusstep.forwarding.model import DiscoveredTarget, RoutingTable
 from hibiscusstep.rollout.controller import PlannedRollout
-from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
 
 __all__ = ["PlannedVersions", "Planner"]
 
--- a/hibiscusstep/forwarding/rollout_book.py
+++ b/hibiscusstep/forwarding/pool_versions.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.rollout_book: current versions and orders of all pools."""
+"""hibiscusstep.forwarding.pool_versions: current versions and orders of all pools."""
 
 import math
 from collections import defaultdict
--- a/hibiscusstep/forwarding/quarantine.py
+++ b/hibiscusstep/forwarding/quarantine.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable
 
 from hibiscusstep.forwarding.connections import ConnectionPool
-from hibiscusstep.forwarding.crashes import CrashDetector, InterruptedAttempt
-from hibiscusstep.forwarding.kept_suspects import from_document, to_document
+from hibiscusstep.forwarding.crash_detector import CrashDetector, InterruptedAttempt
 from hibiscusstep.forwarding.model import DiscoveredTarget
+from hibiscusstep.forwarding.saved_suspects import from_document, to_document
 from hibiscusstep.forwarding.suspects import (
     EARLY_WEIGHT,
     LATE_WEIGHT,
--- a/hibiscusstep/forwarding/standing.py
+++ b/hibiscusstep/forwarding/quarantine_status.py
@@ -1,9 +1,9 @@
-"""hibiscusstep.forwarding.standing: quarantine status of one request."""
+"""hibiscusstep.forwarding.quarantine_status: quarantine status of one request."""
 
 from functools import cached_property
 
-from hibiscusstep.forwarding.crashes import InterruptedAttempt
-from hibiscusstep.forwarding.incoming import Incoming
+from hibiscusstep.forwarding.crash_detector import InterruptedAttempt
+from hibiscusstep.forwarding.incoming_request import Incoming
 from hibiscusstep.forwarding.model import DiscoveredTarget
 from hibiscusstep.forwarding.quarantine import Quarantine
 
--- a/hibiscusstep/forwarding/quota.py
+++ b/hibiscusstep/forwarding/quota.py
@@ -6,16 +6,16 @@
 from dataclasses import dataclass
 
 from hibiscusstep.forwarding.bounds import Bounds
-from hibiscusstep.forwarding.kept_use import (
+from hibiscusstep.forwarding.model import CustomerRule
+from hibiscusstep.forwarding.quota_limit import QuotaLimit
+from hibiscusstep.forwarding.quota_request import TokenReservation
+from hibiscusstep.forwarding.reachability import Reach
+from hibiscusstep.forwarding.saved_usage import (
     ReadUse,
     StoredUse,
     StoredUsePlanner,
     WriteUse,
 )
-from hibiscusstep.forwarding.model import CustomerRule
-from hibiscusstep.forwarding.quota_claim import TokenReservation
-from hibiscusstep.forwarding.quota_limit import QuotaLimit
-from hibiscusstep.forwarding.reach import Reach
 from hibiscusstep.forwarding.usage import UsageLedger
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Tick, Worker
--- a/hibiscusstep/forwarding/quota_limit.py
+++ b/hibiscusstep/forwarding/quota_limit.py
@@ -1,9 +1,9 @@
 """hibiscusstep.forwarding.quota_limit: the current token limit of a customer."""
 
 from hibiscusstep.forwarding.bounds import Bounds
-from hibiscusstep.forwarding.kept_use import StoredUsePlanner
 from hibiscusstep.forwarding.model import CustomerRule
-from hibiscusstep.forwarding.reach import Reach
+from hibiscusstep.forwarding.reachability import Reach
+from hibiscusstep.forwarding.saved_usage import StoredUsePlanner
 from hibiscusstep.forwarding.usage import UsageLedger
 
 __all__ = ["QuotaLimit"]
--- a/hibiscusstep/forwarding/quota_claim.py
+++ b/hibiscusstep/forwarding/quota_request.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.quota_claim: token reservations of requests."""
+"""hibiscusstep.forwarding.quota_request: token reservations of requests."""
 
 from __future__ import annotations
 
--- a/hibiscusstep/forwarding/reach.py
+++ b/hibiscusstep/forwarding/reachability.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.reach: number of instances that share a quota."""
+"""hibiscusstep.forwarding.reachability: number of instances that share a quota."""
 
 from hibiscusstep.membership.tracker import FORGET_DOUBT_S
 from hibiscusstep.membership.view import View
--- a/hibiscusstep/forwarding/rollouts.py
+++ b/hibiscusstep/forwarding/rollouts.py
@@ -7,21 +7,21 @@
 from dataclasses import dataclass
 
 from hibiscusstep.errors import PlatformConflict, PlatformNotFound
-from hibiscusstep.forwarding.kept_rollouts import (
+from hibiscusstep.forwarding.model import DiscoveredTarget
+from hibiscusstep.forwarding.pool_versions import PoolVersionTable
+from hibiscusstep.forwarding.saved_rollouts import (
     SavedRollout,
     from_document,
     to_document,
 )
-from hibiscusstep.forwarding.model import DiscoveredTarget
-from hibiscusstep.forwarding.rollout_book import PoolVersionTable
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Tick, Worker
 from hibiscusstep.membership.neighbours import Neighbours
 from hibiscusstep.membership.view import View, rendezvous
 from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import Received, RolloutRecord, RolloutRecords, RolloutWrite
-from hibiscusstep.rollout.news import RolloutNews
 from hibiscusstep.rollout.order import RolloutOrder, RolloutState
+from hibiscusstep.rollout.rollout_update import RolloutNews
 from hibiscusstep.store import HistoryLost, RolloutStore
 
 __all__ = ["RolloutKeeper", "TargetsChanged"]
--- a/hibiscusstep/forwarding/kept_rollouts.py
+++ b/hibiscusstep/forwarding/saved_rollouts.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.kept_rollouts: progress of an order as a stored document."""
+"""hibiscusstep.forwarding.saved_rollouts: progress of an order as a stored document."""
 
 import logging
 from dataclasses import dataclass
--- a/hibiscusstep/forwarding/kept_suspects.py
+++ b/hibiscusstep/forwarding/saved_suspects.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.kept_suspects: quarantined requests as a stored document."""
+"""hibiscusstep.forwarding.saved_suspects: quarantined requests as a stored document."""
 
 import logging
 
--- a/hibiscusstep/forwarding/kept_use.py
+++ b/hibiscusstep/forwarding/saved_usage.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.kept_use: token usage stored for a full restart."""
+"""hibiscusstep.forwarding.saved_usage: token usage stored for a full restart."""
 
 import itertools
 import logging
--- a/hibiscusstep/forwarding/spread.py
+++ b/hibiscusstep/forwarding/state_distributor.py
@@ -1,11 +1,11 @@
-"""hibiscusstep.forwarding.spread: sends targets and configurations to peers."""
+"""hibiscusstep.forwarding.state_distributor: sends targets and tables to peers."""
 
 import asyncio
 import random
 from collections.abc import Callable
 
 from hibiscusstep.forwarding.model import DiscoveredTarget, RoutingTable
-from hibiscusstep.forwarding.news import to_state
+from hibiscusstep.forwarding.target_messages import to_state
 from hibiscusstep.mailbox import Worker
 from hibiscusstep.membership.view import Member, View
 from hibiscusstep.peer import ConfigurationAsk, ConfigurationReply, TargetStates
--- a/hibiscusstep/forwarding/pace.py
+++ b/hibiscusstep/forwarding/stream_timing.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.pace: measures when the events of a stream arrive."""
+"""hibiscusstep.forwarding.stream_timing: arrival times of stream events."""
 
 __all__ = ["StreamTiming"]
 
--- a/hibiscusstep/forwarding/rests.py
+++ b/hibiscusstep/forwarding/target_backoff.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.rests: targets that asked this instance to stay away."""
+"""hibiscusstep.forwarding.target_backoff: targets that asked for a pause."""
 
 from collections.abc import Iterable
 
--- a/hibiscusstep/forwarding/beliefs.py
+++ b/hibiscusstep/forwarding/target_estimates.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.beliefs: stores dispatchers' estimates of target speeds."""
+"""hibiscusstep.forwarding.target_estimates: stored estimates of target speeds."""
 
 import logging
 from collections.abc import Callable
--- a/hibiscusstep/forwarding/news.py
+++ b/hibiscusstep/forwarding/target_messages.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.news: conversion between target changes and peer messages."""
+"""hibiscusstep.forwarding.target_messages: peer messages about targets."""
 
 from hibiscusstep.forwarding.catalog import TargetListing, TargetNews
 from hibiscusstep.forwarding.model import DiscoveredTarget
--- a/hibiscusstep/forwarding/retries.py
+++ b/hibiscusstep/forwarding/windowed_retry_budget.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.retries: a retry budget over a sliding window."""
+"""hibiscusstep.forwarding.windowed_retry_budget: retry budget over a sliding window."""
 
 from collections import defaultdict
 
--- a/hibiscusstep/load/emulated_target.py
+++ b/hibiscusstep/load/emulated_target.py
@@ -15,7 +15,7 @@
 )
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.engine_model import STEP_S
-from hibiscusstep.routing.slot_choice import PLAIN_SERVICE_S
+from hibiscusstep.routing.target_selector import PLAIN_SERVICE_S
 
 __all__ = [
     "CALLER_TIMEOUT_S",
--- a/hibiscusstep/load/pool_emulator.py
+++ b/hibiscusstep/load/pool_emulator.py
@@ -19,8 +19,8 @@
     RequestKind,
 )
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
-from hibiscusstep.routing.slots import SlotDispatcher
+from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 from hibiscusstep.routing.switches import ALL_ON, Switches
 from hibiscusstep.standins.batching import Batch, EngineSpeed, Job
 
--- a/hibiscusstep/load/rollout_emulator.py
+++ b/hibiscusstep/load/rollout_emulator.py
@@ -11,7 +11,7 @@
 import numpy as np
 
 from hibiscusstep.forwarding.model import DiscoveredTarget
-from hibiscusstep.forwarding.rollout_book import PoolVersionTable
+from hibiscusstep.forwarding.pool_versions import PoolVersionTable
 from hibiscusstep.load.drawn_rollout import (
     NEW_VERSION,
     OLD_VERSION,
@@ -32,8 +32,8 @@
 from hibiscusstep.rollout.budget import ExposureLimits
 from hibiscusstep.rollout.order import RolloutOrder, RolloutState
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
-from hibiscusstep.routing.slots import SlotDispatcher
+from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 
 __all__ = ["RolloutEmulator"]
 
--- a/hibiscusstep/platform/surroundings.py
+++ b/hibiscusstep/platform/environment.py
@@ -1,9 +1,9 @@
-"""hibiscusstep.platform.surroundings: the platform's dependencies of an instance."""
+"""hibiscusstep.platform.environment: the platform's dependencies of an instance."""
 
 import socket
 from pathlib import Path
 
-from hibiscusstep.forwarding.surroundings import Surroundings
+from hibiscusstep.forwarding.environment import Surroundings
 from hibiscusstep.platform.client import (
     ObjectBeliefs,
     ObjectClient,
--- a/hibiscusstep/policies/expected_work.py
+++ b/hibiscusstep/policies/expected_work.py
@@ -4,7 +4,7 @@
 from statistics import median
 
 from hibiscusstep.policy import Policy
-from hibiscusstep.routing.estimate import LONG_PREFILL_S
+from hibiscusstep.routing.target_estimate import LONG_PREFILL_S
 
 __all__ = ["ExpectedWorkPolicy", "PrefixAffinityPolicy"]
 
--- a/hibiscusstep/policy.py
+++ b/hibiscusstep/policy.py
@@ -3,8 +3,8 @@
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
 
-from hibiscusstep.routing.estimate import TargetState
 from hibiscusstep.routing.messages import Work
+from hibiscusstep.routing.target_estimate import TargetState
 
 __all__ = ["Policy", "get_policy_by_name"]
 
--- a/hibiscusstep/rollout/news.py
+++ b/hibiscusstep/rollout/rollout_update.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.rollout.news: progress reports of dispatchers on rollout orders."""
+"""hibiscusstep.rollout.rollout_update: progress of a rollout order."""
 
 from dataclasses import dataclass
 
--- a/hibiscusstep/routing/plan.py
+++ b/hibiscusstep/routing/dispatch_plan.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.plan: the pools and targets that a slot dispatcher may use."""
+"""hibiscusstep.routing.dispatch_plan: pools and targets of slot dispatchers."""
 
 from dataclasses import dataclass, field
 
--- a/hibiscusstep/routing/forecast.py
+++ b/hibiscusstep/routing/forecast.py
@@ -3,10 +3,10 @@
 from collections.abc import Sequence
 
 from hibiscusstep.configuration.models import Configuration
-from hibiscusstep.routing.estimate import TargetState
 from hibiscusstep.routing.messages import Work
 from hibiscusstep.routing.queue import QueuedRequest, TierQueue
 from hibiscusstep.routing.shedding import Shedder
+from hibiscusstep.routing.target_estimate import TargetState
 
 __all__ = ["MIN_RETRY_AFTER_S", "Forecast"]
 
--- a/hibiscusstep/routing/run_watch.py
+++ b/hibiscusstep/routing/grant_monitor.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.run_watch: detection of granted requests that never ended."""
+"""hibiscusstep.routing.grant_monitor: detection of grants that never ended."""
 
 import heapq
 import itertools
--- a/hibiscusstep/routing/dispatcher.py
+++ b/hibiscusstep/routing/policy_dispatcher.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.dispatcher: the dispatcher of pools with a policy."""
+"""hibiscusstep.routing.policy_dispatcher: the dispatcher of pools with a policy."""
 
 from collections import Counter
 from functools import singledispatchmethod
@@ -7,11 +7,11 @@
 from hibiscusstep.configuration.models import Configuration, Customer, Pool
 from hibiscusstep.policy import Policy, get_policy_by_name
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.base import PoolDispatcher
-from hibiscusstep.routing.estimate import TargetState
 from hibiscusstep.routing.forecast import MIN_RETRY_AFTER_S, Forecast
+from hibiscusstep.routing.pool_dispatcher import PoolDispatcher
 from hibiscusstep.routing.queue import QueuedRequest, TierQueue
 from hibiscusstep.routing.shedding import Shedder
+from hibiscusstep.routing.target_estimate import TargetState
 
 __all__ = ["Dispatcher"]
 
--- a/hibiscusstep/routing/base.py
+++ b/hibiscusstep/routing/pool_dispatcher.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.base: the interface of a pool's dispatcher."""
+"""hibiscusstep.routing.pool_dispatcher: the interface of a pool's dispatcher."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
--- a/hibiscusstep/routing/retries.py
+++ b/hibiscusstep/routing/retry_budget.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.retries: a budget for retries after failures."""
+"""hibiscusstep.routing.retry_budget: a budget for retries after failures."""
 
 __all__ = ["RetryBudget"]
 
--- a/hibiscusstep/routing/shedding.py
+++ b/hibiscusstep/routing/shedding.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterator
 
 from hibiscusstep.configuration.models import Configuration
-from hibiscusstep.routing.estimate import RunningRequest, TargetState
 from hibiscusstep.routing.queue import QueuedRequest, TierQueue
+from hibiscusstep.routing.target_estimate import RunningRequest, TargetState
 
 __all__ = ["Shedder"]
 
--- a/hibiscusstep/routing/slots.py
+++ b/hibiscusstep/routing/slot_dispatcher.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.slots: the dispatcher for targets with a fixed number of slots.
+"""hibiscusstep.routing.slot_dispatcher: dispatcher for targets with fixed slots.
 
 These targets serve requests in order of arrival and know no priorities. Requests
 therefore queue at the dispatcher, which never grants a target more requests than it has
@@ -9,22 +9,22 @@
 
 from hibiscusstep.rollout.controller import Rollout
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.base import PoolDispatcher
-from hibiscusstep.routing.own_targets import TargetSubset
-from hibiscusstep.routing.patience import (
-    MAX_RETRY_AFTER_S,
-    retry_after,
-    wait_deadline,
-)
-from hibiscusstep.routing.plan import Plan, PlannedPool
+from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool
+from hibiscusstep.routing.grant_monitor import GrantMonitor, LostRequests
+from hibiscusstep.routing.pool_dispatcher import PoolDispatcher
 from hibiscusstep.routing.rank_floor import RankFloor
-from hibiscusstep.routing.run_watch import GrantMonitor, LostRequests
-from hibiscusstep.routing.slot_choice import TargetSelector
 from hibiscusstep.routing.slot_queue import RefusedRequests, SlotQueue
 from hibiscusstep.routing.slot_target import Run, SlotTarget
-from hibiscusstep.routing.suspect_runs import exclude_suspect_targets
+from hibiscusstep.routing.suspect_isolation import exclude_suspect_targets
 from hibiscusstep.routing.switches import ALL_ON, Switches
-from hibiscusstep.routing.version_split import VersionPartition
+from hibiscusstep.routing.target_selector import TargetSelector
+from hibiscusstep.routing.target_subset import TargetSubset
+from hibiscusstep.routing.version_partition import VersionPartition
+from hibiscusstep.routing.wait_limits import (
+    MAX_RETRY_AFTER_S,
+    retry_after,
+    wait_deadline,
+)
 
 __all__ = ["SlotDispatcher"]
 
--- a/hibiscusstep/routing/suspect_runs.py
+++ b/hibiscusstep/routing/suspect_isolation.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.suspect_runs: isolation of requests suspected of crashes."""
+"""hibiscusstep.routing.suspect_isolation: isolation of suspect requests."""
 
 from collections.abc import Iterable
 
--- a/hibiscusstep/routing/estimate.py
+++ b/hibiscusstep/routing/target_estimate.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.estimate: performance estimates of one target."""
+"""hibiscusstep.routing.target_estimate: performance estimates of one target."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
--- a/hibiscusstep/routing/target_order.py
+++ b/hibiscusstep/routing/target_index.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.target_order: an incremental index of a pool's targets."""
+"""hibiscusstep.routing.target_index: an incremental index of a pool's targets."""
 
 import heapq
 import itertools
--- a/hibiscusstep/routing/slot_choice.py
+++ b/hibiscusstep/routing/target_selector.py
@@ -1,8 +1,9 @@
-"""hibiscusstep.routing.slot_choice: selection of a target for a request."""
+"""hibiscusstep.routing.target_selector: selection of a target for a request."""
 
 import math
 
 from hibiscusstep.routing import messages as m
+from hibiscusstep.routing.dispatch_plan import PlannedPool
 from hibiscusstep.routing.engine_model import (
     STEP_S,
     UNKNOWN_CHUNK_S,
@@ -11,7 +12,6 @@
     PrefillChunk,
     ServiceTimes,
 )
-from hibiscusstep.routing.plan import PlannedPool
 from hibiscusstep.routing.slot_target import Run, SlotTarget
 from hibiscusstep.routing.switches import Switches
 
--- a/hibiscusstep/routing/own_targets.py
+++ b/hibiscusstep/routing/target_subset.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.own_targets: the target subset of a standalone instance."""
+"""hibiscusstep.routing.target_subset: the target subset of a standalone instance."""
 
 import math
 from collections.abc import Iterable
--- a/hibiscusstep/routing/version_split.py
+++ b/hibiscusstep/routing/version_partition.py
@@ -1,14 +1,14 @@
-"""hibiscusstep.routing.version_split: which versions of a pool's targets serve."""
+"""hibiscusstep.routing.version_partition: which versions of a pool's targets serve."""
 
 import enum
 
 from hibiscusstep.rollout.comparison import Answer
 from hibiscusstep.rollout.controller import Rollout
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.plan import PlannedPool
-from hibiscusstep.routing.slot_choice import TargetSelector
+from hibiscusstep.routing.dispatch_plan import PlannedPool
 from hibiscusstep.routing.slot_target import Run, SlotTarget
-from hibiscusstep.routing.target_order import TargetIndex
+from hibiscusstep.routing.target_index import TargetIndex
+from hibiscusstep.routing.target_selector import TargetSelector
 
 __all__ = ["VersionPartition"]
 
--- a/hibiscusstep/routing/patience.py
+++ b/hibiscusstep/routing/wait_limits.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.patience: limits of the waiting time and of retry intervals."""
+"""hibiscusstep.routing.wait_limits: limits of waiting and retry intervals."""
 
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.switches import Switches
--- a/tests/quota_region.py
+++ b/tests/quota_region.py
@@ -10,9 +10,9 @@
 from hibiscusstep import codec
 from hibiscusstep.errors import PlatformUnavailable
 from hibiscusstep.forwarding.bounds import Bounds
-from hibiscusstep.forwarding.kept_use import KeptUseWorker
 from hibiscusstep.forwarding.model import CustomerRule, Quota
 from hibiscusstep.forwarding.quota import CustomersChanged, QuotaKeeper
+from hibiscusstep.forwarding.saved_usage import KeptUseWorker
 from hibiscusstep.mailbox import Tick
 from hibiscusstep.membership.view import Member, View
 from hibiscusstep.membership.worker import ViewChanged
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -19,7 +19,7 @@
     Received,
     WorkInfo,
 )
-from hibiscusstep.routing.plan import Plan, PlannedPool
+from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool
 
 
 class _Links:
--- a/tests/test_dispatching.py
+++ b/tests/test_dispatching.py
@@ -19,8 +19,8 @@
     Received,
     WorkInfo,
 )
-from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
-from hibiscusstep.routing.slots import SlotDispatcher
+from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 
 POOL = "p"
 
--- a/tests/test_forwarding_events.py
+++ b/tests/test_event_splitter.py
@@ -1,9 +1,9 @@
-"""Tests of hibiscusstep.forwarding.events."""
+"""Tests of hibiscusstep.forwarding.event_splitter."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hibiscusstep.forwarding.events import EventSplitter
+from hibiscusstep.forwarding.event_splitter import EventSplitter
 
 
 class TestEventSplitter:
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -21,11 +21,11 @@
 )
 from soak_proxy import Mode, Proxy
 
-from hibiscusstep.forwarding import border
+from hibiscusstep.forwarding import caller_frontend
 from hibiscusstep.forwarding.instance import ForwardingInstance
 from hibiscusstep.listening import listen
 from hibiscusstep.platform.documents import table_of
-from hibiscusstep.platform.surroundings import load_surroundings
+from hibiscusstep.platform.environment import load_surroundings
 
 BOUND_S = 15
 KEY = {"Authorization": "Bearer key-one"}
@@ -161,7 +161,7 @@
         )
 
     async def test_wait_for_it(self, site, monkeypatch):
-        monkeypatch.setattr(border, "START_PATIENCE_S", BOUND_S)
+        monkeypatch.setattr(caller_frontend, "START_PATIENCE_S", BOUND_S)
         call = await self._call_starting_instance(site)
         async with asyncio.timeout(BOUND_S):
             while not site.instances[1].frontend.open_requests:
@@ -171,7 +171,7 @@
         assert (await call)[0] == 200
 
     async def test_are_refused_if_it_does_not_arrive(self, site, monkeypatch):
-        monkeypatch.setattr(border, "START_PATIENCE_S", 0.05)
+        monkeypatch.setattr(caller_frontend, "START_PATIENCE_S", 0.05)
         status, fields, _body = await (await self._call_starting_instance(site))
         assert status == 503
         assert float(fields["Retry-After"]) > 0
--- a/tests/test_run_watch.py
+++ b/tests/test_grant_monitor.py
@@ -1,4 +1,4 @@
-"""Tests of hibiscusstep.routing.run_watch: detection of requests that never ended."""
+"""Tests of hibiscusstep.routing.grant_monitor: detection of grants that never ended."""
 
 import heapq
 import itertools
@@ -11,14 +11,14 @@
 
 from hibiscusstep.desk import STALE_GRANT_S
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
-from hibiscusstep.routing.run_watch import (
+from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.grant_monitor import (
     ANSWER_TIMEOUT_S,
     INQUIRY_INTERVAL_S,
     GrantMonitor,
 )
-from hibiscusstep.routing.slot_choice import MIN_OVERDUE_S
-from hibiscusstep.routing.slots import SlotDispatcher
+from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
+from hibiscusstep.routing.target_selector import MIN_OVERDUE_S
 
 TICK_S = 0.05
 
--- a/tests/test_grouped.py
+++ b/tests/test_grouped.py
@@ -16,7 +16,7 @@
 from hibiscusstep.membership.grouped import NEW_S, GroupedMembership
 from hibiscusstep.peer import Beat, Heartbeat, Received
 from hibiscusstep.peerlink import LinkLost
-from hibiscusstep.platform.surroundings import load_surroundings
+from hibiscusstep.platform.environment import load_surroundings
 from hibiscusstep.store import InstanceRecord, Roster
 
 MESH_SIZE = 2
--- a/tests/test_mechanisms_off.py
+++ b/tests/test_mechanisms_off.py
@@ -20,7 +20,7 @@
 from hibiscusstep.load.drive import Result, State, _judge
 from hibiscusstep.load.mix import Arrival, RequestClass
 from hibiscusstep.progress import Progress
-from hibiscusstep.routing.estimate import TargetState
+from hibiscusstep.routing.target_estimate import TargetState
 from hibiscusstep.targets.engine import StreamedAnswer
 
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_policy_dispatcher.py
@@ -9,7 +9,7 @@
 from hibiscusstep.configuration.models import load_configuration
 from hibiscusstep.policies import POLICIES
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.dispatcher import Dispatcher
+from hibiscusstep.routing.policy_dispatcher import Dispatcher
 
 RANKS = {"high": 0, "mid": 1, "low": 2}
 CUSTOMER_WEIGHTS = {"big": 1.0, "small": 1.0, "heavy": 4.0}
--- a/tests/test_rollout_book.py
+++ b/tests/test_pool_versions.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.rollout_book: pool versions and orders, and their merge."""
+"""hibiscusstep.forwarding.pool_versions: pool versions and orders, and their merge."""
 
 import itertools
 
@@ -8,13 +8,13 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from hibiscusstep import codec
-from hibiscusstep.forwarding.kept_rollouts import (
+from hibiscusstep.forwarding.model import DiscoveredTarget
+from hibiscusstep.forwarding.pool_versions import PoolVersionTable
+from hibiscusstep.forwarding.saved_rollouts import (
     SavedRollout,
     from_document,
     to_document,
 )
-from hibiscusstep.forwarding.model import DiscoveredTarget
-from hibiscusstep.forwarding.rollout_book import PoolVersionTable
 from hibiscusstep.peer import RolloutRecord
 from hibiscusstep.rollout.budget import ExposureLimits
 from hibiscusstep.rollout.controller import RolloutProgress
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -6,10 +6,10 @@
 from quota_region import Store
 
 from hibiscusstep import codec
-from hibiscusstep.forwarding.crashes import InterruptedAttempt
-from hibiscusstep.forwarding.kept_suspects import from_document, to_document
+from hibiscusstep.forwarding.crash_detector import InterruptedAttempt
 from hibiscusstep.forwarding.model import DiscoveredTarget
 from hibiscusstep.forwarding.quarantine import Quarantine
+from hibiscusstep.forwarding.saved_suspects import from_document, to_document
 from hibiscusstep.mailbox import Tick
 from hibiscusstep.membership.view import Member, View
 from hibiscusstep.membership.worker import ViewChanged
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -5,7 +5,7 @@
 from hibiscusstep.forwarding.bounds import Bounds
 from hibiscusstep.forwarding.model import CustomerRule, Quota
 from hibiscusstep.forwarding.quota import QuotaKeeper
-from hibiscusstep.forwarding.quota_claim import QuotaClaim
+from hibiscusstep.forwarding.quota_request import QuotaClaim
 from hibiscusstep.forwarding.window import SlidingWindow
 from hibiscusstep.mailbox import Tick
 from hibiscusstep.membership.view import Member, View
--- a/tests/test_retries.py
+++ b/tests/test_retry_budget.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from hibiscusstep.events import EventKind
-from hibiscusstep.routing.retries import RetryBudget
+from hibiscusstep.routing.retry_budget import RetryBudget
 
 
 class TestRetryBudget:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -12,8 +12,8 @@
 from hibiscusstep.rollout.controller import PlannedRollout, Rollout, RolloutProgress
 from hibiscusstep.rollout.order import RolloutOrder, RolloutState
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
-from hibiscusstep.routing.slots import SlotDispatcher
+from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 
 LIMITS = ExposureLimits(0.1, 50.0)
 
--- a/tests/test_saturated_plain_service.py
+++ b/tests/test_saturated_plain_service.py
@@ -14,8 +14,8 @@
 import pytest
 
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
-from hibiscusstep.routing.slots import SlotDispatcher
+from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 from hibiscusstep.routing.switches import ALL_ON, Switches
 
 SPEEDS = (0.8, 1.0, 1.6)
--- a/tests/test_kept_use.py
+++ b/tests/test_saved_usage.py
@@ -5,7 +5,7 @@
 import pytest
 from quota_region import Store
 
-from hibiscusstep.forwarding.kept_use import (
+from hibiscusstep.forwarding.saved_usage import (
     KeptUseWorker,
     ReadUse,
     StoredUse,
--- a/tests/test_slots.py
+++ b/tests/test_slot_dispatcher.py
@@ -1,4 +1,4 @@
-"""Tests of hibiscusstep.routing.slots: the dispatcher for targets with slots."""
+"""Tests of hibiscusstep.routing.slot_dispatcher: dispatcher for targets with slots."""
 
 from dataclasses import replace
 
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 from hibiscusstep.routing.slot_target import Run, SlotTarget
-from hibiscusstep.routing.slots import SlotDispatcher
 from hibiscusstep.routing.switches import ALL_ON, Switches
 
 
--- a/tests/test_spread.py
+++ b/tests/test_state_distributor.py
@@ -1,11 +1,11 @@
-"""hibiscusstep.forwarding.spread: requested configurations, sent targets."""
+"""hibiscusstep.forwarding.state_distributor: requested configurations, sent targets."""
 
 import asyncio
 
 from platform_standin import configuration
 
 from hibiscusstep.forwarding.model import DiscoveredTarget
-from hibiscusstep.forwarding.spread import REQUEST_DELAY_S, Spread
+from hibiscusstep.forwarding.state_distributor import REQUEST_DELAY_S, Spread
 from hibiscusstep.membership.view import Member, View
 from hibiscusstep.peer import ConfigurationAsk, TargetStates
 from hibiscusstep.platform.documents import table_of
--- a/tests/test_suspect_runs.py
+++ b/tests/test_suspect_isolation.py
@@ -1,8 +1,8 @@
-"""Tests of hibiscusstep.routing.suspect_runs: isolation of suspected requests."""
+"""Tests of hibiscusstep.routing.suspect_isolation: isolation of suspected requests."""
 
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
-from hibiscusstep.routing.slots import SlotDispatcher
+from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 
 
 def _dispatcher(targets=2):
--- a/tests/test_rests.py
+++ b/tests/test_target_backoff.py
@@ -1,6 +1,6 @@
-"""hibiscusstep.forwarding.rests: when targets may be sent requests again."""
+"""hibiscusstep.forwarding.target_backoff: when targets may be sent requests again."""
 
-from hibiscusstep.forwarding.rests import TargetRests
+from hibiscusstep.forwarding.target_backoff import TargetRests
 
 
 class TestRests:
--- a/tests/test_beliefs.py
+++ b/tests/test_target_estimates.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.forwarding.beliefs: estimates survive a full restart."""
+"""hibiscusstep.forwarding.target_estimates: estimates survive a full restart."""
 
 from dataclasses import asdict
 
@@ -6,12 +6,12 @@
 from result import Err, Ok
 
 from hibiscusstep.errors import PlatformUnavailable
-from hibiscusstep.forwarding.beliefs import BeliefKeeper
+from hibiscusstep.forwarding.target_estimates import BeliefKeeper
 from hibiscusstep.mailbox import Tick
 from hibiscusstep.peer import PoolLearnt
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
-from hibiscusstep.routing.slots import SlotDispatcher
+from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 from hibiscusstep.store import BeliefStore
 
 ESTIMATES = PoolLearnt("p", ["t0", "t1"], [1.0, 5.0], 0.03, 1e-5, 0.15)
--- a/tests/test_target_order.py
+++ b/tests/test_target_index.py
@@ -1,15 +1,14 @@
-"""Tests of hibiscusstep.routing.target_order: the index agrees with a full scan."""
+"""Tests of hibiscusstep.routing.target_index: the index agrees with a full scan."""
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
-from hibiscusstep.routing.slot_choice import TargetSelector
+from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 from hibiscusstep.routing.slot_target import Run, SlotTarget
-from hibiscusstep.routing.slots import SlotDispatcher
-from hibiscusstep.routing.target_order import (
+from hibiscusstep.routing.target_index import (
     MAX_FASTEST,
     MAX_LOCAL_CANDIDATES,
     MAX_REMOTE_CANDIDATES,
@@ -17,6 +16,7 @@
     TYPICAL_REQUEST_S,
     TargetIndex,
 )
+from hibiscusstep.routing.target_selector import TargetSelector
 
 CENTRES = ("a", "b")
 TARGETS = 6
--- a/tests/test_own_targets.py
+++ b/tests/test_target_subset.py
@@ -1,14 +1,14 @@
-"""Tests of hibiscusstep.routing.own_targets: standalone instances spread evenly."""
+"""Tests of hibiscusstep.routing.target_subset: standalone instances spread evenly."""
 
 from collections import Counter
 
 import pytest
 
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.own_targets import MIN_TARGETS, TargetSubset
-from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 from hibiscusstep.routing.slot_target import SlotTarget
-from hibiscusstep.routing.slots import SlotDispatcher
+from hibiscusstep.routing.target_subset import MIN_TARGETS, TargetSubset
 
 SLOWNESS = (0.5, 1.0, 3.0)
 
--- a/tests/test_windowed_retries.py
+++ b/tests/test_windowed_retry_budget.py
@@ -3,7 +3,7 @@
 import pytest
 
 from hibiscusstep.forwarding.bounds import Bounds
-from hibiscusstep.forwarding.retries import WindowedRetryBudget
+from hibiscusstep.forwarding.windowed_retry_budget import WindowedRetryBudget
 
 BOUNDS = Bounds(retry_share=0.2, retry_reserve=50.0, retry_window=10.0)
 INSTANCES = 6
