--- a/examples/decision_cost.py
+++ b/examples/decision_cost.py
@@ -13,7 +13,7 @@
 import click
 
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.dispatch_plan import DispatchPlan, PlannedPool, PlannedTarget
 from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 
 SLOTS = 10
@@ -26,7 +26,7 @@
     """Return the microseconds of a request with so many waiting."""
     pool = {f"t{n}": PlannedTarget(SLOTS) for n in range(targets)}
     dispatcher = SlotDispatcher(
-        "p", Plan({"p": PlannedPool(True, 6, 0.3, targets=pool)})
+        "p", DispatchPlan({"p": PlannedPool(True, 6, 0.3, targets=pool)})
     )
     dispatcher.handle(m.Recovered(), 0.0)
     # As many wait as come in the time that each is patient for.
@@ -40,10 +40,10 @@
             f"a{n}", f"r{n}", "i", "c", str(n % RANKS), n % RANKS, 2000, 300,
             now + patience, now, due=now + 2 * patience,
         )  # fmt: skip
-        messages = [m.Ask(work)]
+        messages = [m.RequestGrant(work)]
         if len(held) >= targets * SLOTS and not n % ASKS_AN_ANSWER:
             ask = held.pop(next(running) % 7)
-            messages.append(m.Finished(ask, m.Outcome.DONE, 50, 1.0))
+            messages.append(m.Finished(ask, m.GrantOutcome.DONE, 50, 1.0))
         began = time.process_time()
         decisions = [d for message in messages for d in dispatcher.handle(message, now)]
         granted = [d.work.ask for d in decisions if isinstance(d, m.Grant)]
--- a/examples/slopes.py
+++ b/examples/slopes.py
@@ -31,7 +31,7 @@
 from hibiscusstep.peerlink import Authenticator, PeerLinks
 from hibiscusstep.platform.settings import HEARTBEAT_INTERVAL_S, SUSPECT_AFTER_S
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.policy_dispatcher import Dispatcher
+from hibiscusstep.routing.policy_dispatcher import PolicyDispatcher
 from hibiscusstep.store import InstanceRecord
 from hibiscusstep.stores.memory import MemoryPlatform
 
@@ -192,27 +192,27 @@
         for customer in data["customers"].values():
             customer["max_waiting"] = 100_000
         configuration = load_configuration({"a.json": json.dumps(data)})[0]
-        state = Dispatcher("pool", configuration)
+        state = PolicyDispatcher("pool", configuration)
         state.handle(m.Recovered(), 0.0)
         places = targets * 8
         running = []
         for number in range(places):
-            (grant,) = state.handle(m.Ask(_work(number, customers)), 1.0)
+            (grant,) = state.handle(m.RequestGrant(_work(number, customers)), 1.0)
             running.append(grant.work.ask)
         gc.collect()
         tracemalloc.start()
         for number in range(places, places + waiting):
-            state.handle(m.Ask(_work(number, customers)), 1.0)
+            state.handle(m.RequestGrant(_work(number, customers)), 1.0)
         held = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
         rounds = 400
         begun = time.process_time()
         for number in range(places + waiting, places + waiting + rounds):
-            state.handle(m.Ask(_work(number, customers)), 2.0)
+            state.handle(m.RequestGrant(_work(number, customers)), 2.0)
             done = running.pop(0)
             state.handle(m.FirstToken(done, 0.1), 2.0)
             for taken in state.handle(
-                m.Finished(done, m.Outcome.DONE, 20, 0.5, 40), 2.0
+                m.Finished(done, m.GrantOutcome.DONE, 20, 0.5, 40), 2.0
             ):
                 running.append(taken.work.ask)
         spent = time.process_time() - begun
--- a/hibiscusstep/attempt.py
+++ b/hibiscusstep/attempt.py
@@ -10,7 +10,7 @@
 from hibiscusstep.events import EventKind
 from hibiscusstep.grants import Ended, Granted, Started
 from hibiscusstep.progress import Progress
-from hibiscusstep.routing.messages import Outcome as Ending
+from hibiscusstep.routing.messages import GrantOutcome as Ending
 from hibiscusstep.sink import Sink
 from hibiscusstep.target import Answer, Order, get_target_by_kind
 
--- a/hibiscusstep/cmdline/entry.py
+++ b/hibiscusstep/cmdline/entry.py
@@ -85,9 +85,9 @@
     callers = listen(settings.caller_address) if serves else None
     # Only now the modules that take long to import.
     from hibiscusstep.forwarding.instance import ForwardingInstance
-    from hibiscusstep.platform.environment import load_surroundings
+    from hibiscusstep.platform.environment import load_environment
 
-    surroundings = load_surroundings(path, callers)
+    surroundings = load_environment(path, callers)
     return surroundings.settings, lambda: ForwardingInstance(surroundings)
 
 
--- a/hibiscusstep/cmdline/load.py
+++ b/hibiscusstep/cmdline/load.py
@@ -21,7 +21,7 @@
 from hibiscusstep.load.mix import arrivals, load_mix
 from hibiscusstep.load.plot import plot_account, plot_rollouts, plot_summary
 from hibiscusstep.load.report import make_report
-from hibiscusstep.load.rollout_report import play_rollout, rollout_table
+from hibiscusstep.load.rollout_report import rollout_table_lines, run_rollout
 from hibiscusstep.operations import OperatorClient
 from hibiscusstep.policies import POLICIES
 from hibiscusstep.store import get_platform_by_name
@@ -157,12 +157,12 @@
     first, _, last = seeds.partition("-")
     numbers = range(int(first), int(last or first) + 1)
     with click.progressbar(numbers, label="playing", file=sys.stderr) as bar:
-        played = {seed: play_rollout(seed, test) for seed in bar}
+        played = {seed: run_rollout(seed, test) for seed in bar}
     if as_json:
         results = {str(seed): asdict(result) for seed, result in played.items()}
         click.echo(orjson.dumps(results, option=orjson.OPT_INDENT_2))
     else:
-        for line in rollout_table(played):
+        for line in rollout_table_lines(played):
             click.echo(line)
     if plot:
         plot_rollouts(played, plot)
--- a/hibiscusstep/delivery.py
+++ b/hibiscusstep/delivery.py
@@ -18,8 +18,8 @@
 from hibiscusstep.peer import WorkInfo
 from hibiscusstep.problem import Problem
 from hibiscusstep.progress import Progress
-from hibiscusstep.routing.messages import Outcome as Ending
-from hibiscusstep.routing.messages import Reason
+from hibiscusstep.routing.messages import GrantOutcome as Ending
+from hibiscusstep.routing.messages import RefusalReason
 from hibiscusstep.routing.retry_budget import RetryBudget
 from hibiscusstep.sink import Sink
 
@@ -235,7 +235,7 @@
         try:
             reply = await self._services.desk.ask(wanted)
         except MailboxFull:
-            reply = Refused(Reason.LOAD, 1.0)
+            reply = Refused(RefusalReason.LOAD, 1.0)
         if isinstance(reply, Refused):
             self._progress.explain(
                 "refused", reason=reply.reason, retry_after=reply.retry_after
--- a/hibiscusstep/desk.py
+++ b/hibiscusstep/desk.py
@@ -27,7 +27,7 @@
     WorkInfo,
 )
 from hibiscusstep.peerlink import LinkLost, Send
-from hibiscusstep.routing.messages import Reason
+from hibiscusstep.routing.messages import RefusalReason
 
 __all__ = ["Desk"]
 
@@ -224,7 +224,7 @@
     def _refuse(self, refusal: PoolRefuse) -> None:
         held = self._line(refusal.pool).waiting.pop(refusal.ask, None)
         if held:
-            reason = Reason(refusal.reason)
+            reason = RefusalReason(refusal.reason)
             held.question.reply(Refused(reason, refusal.retry_after))
 
     def _expire(self) -> None:
@@ -236,7 +236,7 @@
                     del line.waiting[ask]
                     self._send(pool, PoolWithdraw(pool, ask))
                     held.question.reply(
-                        Refused(Reason.UNAVAILABLE, UNAVAILABLE_RETRY_S)
+                        Refused(RefusalReason.UNAVAILABLE, UNAVAILABLE_RETRY_S)
                     )
 
     def _is_overdue(self, line: _Line, wanted: GrantRequest, now: float) -> bool:
--- a/hibiscusstep/dispatching.py
+++ b/hibiscusstep/dispatching.py
@@ -35,7 +35,7 @@
     StatusReply,
 )
 from hibiscusstep.peerlink import Send
-from hibiscusstep.rollout.rollout_update import RolloutNews
+from hibiscusstep.rollout.rollout_update import RolloutUpdate
 from hibiscusstep.routing import messages as m
 from hibiscusstep.target import get_target_by_kind
 
@@ -105,7 +105,7 @@
         Whether it dispatches its own instance's requests of any pool when asked.
     kept : callable of PoolLearnt or None
         Keeps what the dispatchers here learn beyond the processes.
-    on_rollout : callable of RolloutNews or None
+    on_rollout : callable of RolloutUpdate or None
         Is told how far orders to change a pool's version came.
     """
 
@@ -122,7 +122,7 @@
         reads_reports: bool = True,
         serves_itself: bool = False,
         kept: Callable[[PoolLearnt], None] | None = None,
-        on_rollout: Callable[[RolloutNews], None] | None = None,
+        on_rollout: Callable[[RolloutUpdate], None] | None = None,
     ) -> None:
         super().__init__("dispatching", tick_interval=TICK_S)
         self._kind = kind
@@ -131,7 +131,7 @@
         self._own_duties: dict[str, Duty] = {}
         self._kept = kept
         self._on_rollout = on_rollout
-        self._learnt: dict[str, m.Learnt] = {}
+        self._learnt: dict[str, m.LearnedEstimates] = {}
         self._own_name = name
         self._address = address
         self._links = links
@@ -258,7 +258,7 @@
             self._links.tell(Send(address, news))
 
     def _tell_rollout(
-        self, duty: Duty, now: float, concluded: m.Conclude | None = None
+        self, duty: Duty, now: float, concluded: m.ConcludeRollout | None = None
     ) -> None:
         """Tell how far the order of a pool came, now and then and at its end."""
         rollout = duty.dispatcher.rollout
@@ -273,7 +273,7 @@
             fields |= {"state": concluded.state, "reason": concluded.reason}
         decision("rollout-verdict" if concluded else "rollout-progress", **fields)
         verdict = (concluded.state, concluded.reason) if concluded else ()
-        self._on_rollout(RolloutNews(pool, number, rollout.progress, *verdict))
+        self._on_rollout(RolloutUpdate(pool, number, rollout.progress, *verdict))
 
     def _take_learnt(self, news: PoolLearnt) -> None:
         """Remember another's learning for the time when it falls to this instance."""
@@ -339,7 +339,7 @@
             case PoolAsk(work=info):
                 duty.addresses[info.instance] = sender
                 duty.heard[info.instance] = now
-                self._feed(duty, m.Ask(work_of(info, now)))
+                self._feed(duty, m.RequestGrant(work_of(info, now)))
                 if self._serves_itself and duty.dispatcher.is_waiting(info.ask):
                     self._reply(sender, PoolQueued(pool, duty.sign_interval))
             case PoolWithdraw(ask=ask):
@@ -349,7 +349,7 @@
             case PoolFinished():
                 finished = m.Finished(
                     body.ask,
-                    m.Outcome(body.outcome),
+                    m.GrantOutcome(body.outcome),
                     body.tokens,
                     body.decode_seconds,
                     body.computed,
@@ -358,7 +358,7 @@
                 self._feed(duty, finished)
             case PoolHeld(instance=instance, asks=asks):
                 duty.heard[instance] = now
-                self._feed(duty, m.Held(instance, frozenset(asks)))
+                self._feed(duty, m.HeldGrants(instance, frozenset(asks)))
             case PoolRegister():
                 self._register(duty, sender, body, now)
 
@@ -369,9 +369,9 @@
         duty.heard[body.instance] = now
         self._feed(duty, m.InstanceGone(body.instance))
         for info, target in zip(body.running, body.targets, strict=True):
-            self._feed(duty, m.Adopt(work_of(info, now), target))
+            self._feed(duty, m.AdoptRunning(work_of(info, now), target))
         for info in body.waiting:
-            self._feed(duty, m.Ask(work_of(info, now)))
+            self._feed(duty, m.RequestGrant(work_of(info, now)))
         duty.registered.add(body.incarnation)
         self._maybe_recovered(body.pool, duty)
 
@@ -400,7 +400,7 @@
                 self._feed(duty, m.InstanceGone(name))
                 duty.dropped.add(before[name].incarnation)
             self._ask_back(pool, duty)
-            self._feed(duty, m.Doubt(view.doubtful))
+            self._feed(duty, m.SuspectPartition(view.doubtful))
             self._maybe_recovered(pool, duty)
 
     def _ask_back(self, pool: str, duty: Duty) -> None:
@@ -467,10 +467,10 @@
 
     def _carry_out(self, duty: Duty, taken: m.Decision, now: float) -> None:
         pool = duty.dispatcher.pool_name
-        if isinstance(taken, m.Inquire):
+        if isinstance(taken, m.QueryGrants):
             self._inquire(duty, taken.instance)
             return
-        if isinstance(taken, m.Conclude):
+        if isinstance(taken, m.ConcludeRollout):
             self._tell_rollout(duty, now, taken)
             return
         work = taken.work
@@ -496,7 +496,7 @@
             case m.Stop(target=target):
                 decision("stop", **fields, target=target)
                 self._reply(address, PoolStop(pool, work.ask))
-            case m.Lost(target=target):
+            case m.GrantLost(target=target):
                 instance = work.instance
                 decision("end-not-told", **fields, target=target, instance=instance)
 
--- a/hibiscusstep/duty.py
+++ b/hibiscusstep/duty.py
@@ -36,10 +36,10 @@
     rollout_told: float = 0.0
 
 
-def learnt_of(news: PoolLearnt, old: bool = False) -> m.Learnt:
+def learnt_of(news: PoolLearnt, old: bool = False) -> m.LearnedEstimates:
     """Return what another instance tells as what a dispatcher takes."""
     slowness = dict(zip(news.targets, news.slowness, strict=True))
-    return m.Learnt(slowness, news.first, news.token, news.share, old)
+    return m.LearnedEstimates(slowness, news.first, news.token, news.share, old)
 
 
 def work_of(info: WorkInfo, now: float) -> m.Work:
--- a/hibiscusstep/entry.py
+++ b/hibiscusstep/entry.py
@@ -50,7 +50,7 @@
     StatusReply,
 )
 from hibiscusstep.peerlink import LinkLost, PeerLinks, Send
-from hibiscusstep.routing.policy_dispatcher import Dispatcher
+from hibiscusstep.routing.policy_dispatcher import PolicyDispatcher
 from hibiscusstep.routing.retry_budget import RetryBudget
 from hibiscusstep.store import Platform, get_platform_by_name
 from hibiscusstep.supervisor import Child, Restart, Supervisor
@@ -185,7 +185,7 @@
             self._route,
             self._sessions,
             tier_guard=settings.tier_guard_enabled,
-            kind=Dispatcher,
+            kind=PolicyDispatcher,
         )
         self._desk = Desk(name, self._incarnation, address, self._links, self._route)
         self._claim_writer = ClaimWriter(
--- a/hibiscusstep/forwarding/bounds.py
+++ b/hibiscusstep/forwarding/bounds.py
@@ -4,7 +4,7 @@
 
 from hibiscusstep.membership.relays import MESH_SIZE
 from hibiscusstep.rollout.budget import ExposureLimits
-from hibiscusstep.routing.switches import ALL_ON, Switches
+from hibiscusstep.routing.switches import ALL_ENABLED, Switches
 
 __all__ = ["Bounds", "InstanceSettings"]
 
@@ -77,6 +77,6 @@
     suspect_after: float
     capacity: int = 1
     mesh_size: int = MESH_SIZE
-    switches: Switches = ALL_ON
+    switches: Switches = ALL_ENABLED
     log_style: str = "json"
     log_level: str = "INFO"
--- a/hibiscusstep/forwarding/caller_frontend.py
+++ b/hibiscusstep/forwarding/caller_frontend.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from hibiscusstep.forwarding.exchange import Exchange
-from hibiscusstep.forwarding.incoming_request import ForwardingContext, Incoming
+from hibiscusstep.forwarding.incoming_request import ForwardingContext, IncomingRequest
 from hibiscusstep.forwarding.local_response import local_response
 from hibiscusstep.forwarding.model import (
     CustomerRule,
@@ -15,8 +15,8 @@
     IngressLimits,
     RoutingTable,
 )
-from hibiscusstep.forwarding.quota import QuotaKeeper
-from hibiscusstep.forwarding.quota_request import QUOTA_RETRY_S, QuotaClaim
+from hibiscusstep.forwarding.quota import QuotaLimiter
+from hibiscusstep.forwarding.quota_request import QUOTA_RETRY_S, QuotaRequest
 from hibiscusstep.log import decision
 
 __all__ = ["CallerFrontend"]
@@ -27,7 +27,7 @@
 # timeout. Callers connect while an instance starts, and when all instances restart no
 # other one is ready: a region of 19 instances refused 219 requests in the half second
 # between the start of listening and the first configuration.
-START_PATIENCE_S = 1.0
+STARTUP_WAIT_S = 1.0
 # Another instance can serve the request at once.
 STOPPING_RETRY_AFTER_S = 0.05
 # A stopping instance accepts requests that may outlast it for this long; after that the
@@ -54,11 +54,11 @@
     ----------
     context : ForwardingContext
         Services shared by all exchanges.
-    quotas : QuotaKeeper
+    quotas : QuotaLimiter
         Enforces customers' quotas.
     """
 
-    def __init__(self, context: ForwardingContext, quotas: QuotaKeeper) -> None:
+    def __init__(self, context: ForwardingContext, quotas: QuotaLimiter) -> None:
         self._context = context
         self._quotas = quotas
         self._table: RoutingTable | None = None
@@ -141,7 +141,7 @@
         except _RequestRejected as rejected:
             return self._reject(request, head.request, rejected)
         pool = route.choose_pool()
-        incoming = Incoming(
+        incoming = IncomingRequest(
             request,
             head,
             body,
@@ -183,7 +183,7 @@
 
     async def _claim_quota(
         self, customer: CustomerRule | None, head
-    ) -> QuotaClaim | None:
+    ) -> QuotaRequest | None:
         if customer is None:
             return None
         if customer.quota.rate and not self._quotas.informed:
@@ -191,7 +191,7 @@
         tokens = head.prompt_tokens + head.output_tokens
         if not head.counted:
             tokens = customer.quota.plain_tokens
-        claim = QuotaClaim(self._quotas, customer, tokens, head.request)
+        claim = QuotaRequest(self._quotas, customer, tokens, head.request)
         if not claim.fits():
             raise _RequestRejected(429, "customer quota exceeded", QUOTA_RETRY_S)
         return claim
@@ -229,7 +229,7 @@
 
 async def _wait_for_startup(event: Awaitable, caller_timeout: float | None) -> None:
     """Wait for state that a starting instance still lacks, for a bounded time."""
-    seconds = START_PATIENCE_S
+    seconds = STARTUP_WAIT_S
     if caller_timeout is not None:
         seconds = min(seconds, caller_timeout / 2)
     with contextlib.suppress(TimeoutError):
--- a/hibiscusstep/forwarding/catalog.py
+++ b/hibiscusstep/forwarding/catalog.py
@@ -13,11 +13,11 @@
 
 __all__ = [
     "Catalog",
-    "Follow",
-    "SaidLeaving",
-    "TableNews",
+    "LeavingAnnounced",
+    "SetFollowing",
+    "TableUpdate",
     "TargetListing",
-    "TargetNews",
+    "TargetUpdate",
 ]
 
 _LOG = logging.getLogger(__name__)
@@ -29,21 +29,21 @@
 # 36 targets in 10 s makes about a hundred changes, each of which cost a call of every
 # watching instance. The first instance to see a change sends it to its peers, so all
 # instances know it as early as before.
-GATHER_S = 0.3
+BATCH_DELAY_S = 0.3
 # Entries that expired during an outage of the store are written again within 2 s of its
 # return. An entry that is missing for longer is removed.
-LAPSE_GRACE_S = 2.2
+EXPIRY_GRACE_S = 2.2
 
 
 @dataclass(frozen=True, slots=True)
-class TableNews:
+class TableUpdate:
     """A version of the routing table that was read or was sent by a peer."""
 
     table: RoutingTable
 
 
 @dataclass(frozen=True, slots=True)
-class TargetNews:
+class TargetUpdate:
     """Changes of targets, from the store or from a peer."""
 
     changes: tuple[Change, ...]
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SaidLeaving:
+class LeavingAnnounced:
     """A target announced in an answer that it accepts no new work.
 
     Parameters
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Follow:
+class SetFollowing:
     """Command to follow the store, or to rely on messages from peers only."""
 
     store: bool
@@ -97,7 +97,7 @@
     answer to any instance, stays leaving until it restarts: the store may be
     unavailable, and its entry is then older than the announcement. A target that
     disappears around an outage of the store, or around a restore from an older copy,
-    is kept until `LAPSE_GRACE_S` after it.
+    is kept until `EXPIRY_GRACE_S` after it.
 
     Parameters
     ----------
@@ -187,15 +187,15 @@
             case _ChangesSeen(changes=changes):
                 self._raise_revision(max(change.revision for change in changes))
                 self._apply_changes(changes)
-            case TableNews(table=table):
+            case TableUpdate(table=table):
                 self._apply_tables([table])
-            case TargetNews(changes=changes):
+            case TargetUpdate(changes=changes):
                 self._apply_changes(changes)
             case TargetListing(listing=listing):
                 self._apply_listing(listing, recovered=False)
-            case SaidLeaving(target=target):
+            case LeavingAnnounced(target=target):
                 self._apply_announcement(target)
-            case Follow(store=follows):
+            case SetFollowing(store=follows):
                 self._set_following(follows)
             case Tick():
                 self._remove_pending()
@@ -223,7 +223,7 @@
                     changes, revision = seen.unwrap()
                     if changes:
                         self.tell(_ChangesSeen(feed, changes))
-                        await asyncio.sleep(GATHER_S)
+                        await asyncio.sleep(BATCH_DELAY_S)
                     continue
                 revision = None
                 error = seen.unwrap_err()
@@ -263,7 +263,7 @@
         now = asyncio.get_running_loop().time()
         self._raise_revision(listing.revision)
         if recovered or (self._era and listing.era > self._era):
-            self._removals_trusted_at = now + LAPSE_GRACE_S
+            self._removals_trusted_at = now + EXPIRY_GRACE_S
         self._era = max(self._era, listing.era)
         removed = [
             Change(name, None, listing.revision)
--- a/hibiscusstep/forwarding/dialect.py
+++ b/hibiscusstep/forwarding/dialect.py
@@ -4,7 +4,13 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-__all__ = ["AnswerHead", "Dialect", "Headers", "Order", "RequestHead"]
+__all__ = [
+    "Dialect",
+    "Headers",
+    "RequestHead",
+    "TargetRequestHead",
+    "TargetResponseHead",
+]
 
 Headers = Sequence[tuple[bytes, bytes]]
 
@@ -45,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class TargetRequestHead:
     """Values that are added to a request to a target.
 
     Parameters
@@ -67,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHead:
+class TargetResponseHead:
     """Parsed header fields of a target's response.
 
     Parameters
@@ -113,11 +119,13 @@
         """Parse a caller's header fields (a case-insensitive multidict)."""
 
     @abstractmethod
-    def order_fields(self, raw: Headers, order: Order) -> Iterable[tuple[bytes, bytes]]:
+    def order_fields(
+        self, raw: Headers, order: TargetRequestHead
+    ) -> Iterable[tuple[bytes, bytes]]:
         """Return the header fields to send to a target, without hop-by-hop fields."""
 
     @abstractmethod
-    def read_answer(self, status: int, headers) -> AnswerHead:
+    def read_answer(self, status: int, headers) -> TargetResponseHead:
         """Parse the status and header fields of a target's response."""
 
     @abstractmethod
--- a/hibiscusstep/forwarding/environment.py
+++ b/hibiscusstep/forwarding/environment.py
@@ -16,11 +16,11 @@
     UseStore,
 )
 
-__all__ = ["Surroundings"]
+__all__ = ["InstanceEnvironment"]
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class InstanceEnvironment:
     """Settings, stores and callbacks that a platform adapter provides to an instance.
 
     Parameters
--- a/hibiscusstep/forwarding/exchange.py
+++ b/hibiscusstep/forwarding/exchange.py
@@ -8,16 +8,16 @@
 from hibiscusstep.dispatching import TargetLoad
 from hibiscusstep.errors import TargetError
 from hibiscusstep.forwarding.connections import Connection, TargetResponse
-from hibiscusstep.forwarding.dialect import AnswerHead, Order
+from hibiscusstep.forwarding.dialect import TargetRequestHead, TargetResponseHead
 from hibiscusstep.forwarding.event_splitter import EventSplitter
 from hibiscusstep.forwarding.grant_client import GrantClient, Refusal
-from hibiscusstep.forwarding.incoming_request import ForwardingContext, Incoming
+from hibiscusstep.forwarding.incoming_request import ForwardingContext, IncomingRequest
 from hibiscusstep.forwarding.local_response import local_response
 from hibiscusstep.forwarding.model import (
     DiscoveredTarget,
-    Repeat,
+    RetryMode,
 )
-from hibiscusstep.forwarding.quarantine_status import Standing
+from hibiscusstep.forwarding.quarantine_status import QuarantineStatus
 from hibiscusstep.forwarding.stream_timing import StreamTiming
 from hibiscusstep.log import decision
 from hibiscusstep.routing import messages as m
@@ -62,13 +62,13 @@
 
     Parameters
     ----------
-    incoming : Incoming
+    incoming : IncomingRequest
         The request.
     context : ForwardingContext
         Services shared by all exchanges.
     """
 
-    def __init__(self, incoming: Incoming, context: ForwardingContext) -> None:
+    def __init__(self, incoming: IncomingRequest, context: ForwardingContext) -> None:
         self._incoming = incoming
         self._context = context
         self._attempts = 0
@@ -78,8 +78,8 @@
         self._response: web.StreamResponse | None = None
         self._last_failure_response: web.Response | None = None
         self._timing = StreamTiming(incoming.received)
-        self._response_head: AnswerHead | None = None
-        self._standing = Standing(incoming, context.quarantine)
+        self._response_head: TargetResponseHead | None = None
+        self._standing = QuarantineStatus(incoming, context.quarantine)
         self._grants = GrantClient(incoming, context, self._standing)
 
     async def run(self) -> web.StreamResponse:
@@ -134,7 +134,7 @@
         """Send the request to a target; return None if a response was relayed."""
         connection = None
         self._response_head = None
-        outcome = m.Outcome.CANCELLED
+        outcome = m.GrantOutcome.CANCELLED
         started = self._now()
         cause = ""
         may_have_run_earlier = self._may_have_run
@@ -148,20 +148,20 @@
             )
             outcome = _OUTCOMES[failure]
             if failure is None and _is_target_failure(target_response.message.code):
-                outcome = m.Outcome.FAILED
+                outcome = m.GrantOutcome.FAILED
             elif failure is None:
                 self._standing.answered()
             if failure is _AttemptFailure.NOT_RUN:
                 self._may_have_run = may_have_run_earlier
                 if response_head.misdirected:
-                    outcome = m.Outcome.LEAVING
+                    outcome = m.GrantOutcome.LEAVING
             return failure
         except TargetError as error:
             cause = str(error)
             if not error.sent:
-                outcome = m.Outcome.UNREACHABLE
+                outcome = m.GrantOutcome.UNREACHABLE
                 return _AttemptFailure.NOT_SENT
-            outcome = m.Outcome.BROKEN
+            outcome = m.GrantOutcome.BROKEN
             self._standing.broke(
                 target, self._grants.granted_at, not self._timing.events
             )
@@ -170,7 +170,7 @@
             if self._now() >= self._incoming.deadline:
                 raise
             cause = str(error) or "hangs"
-            outcome = m.Outcome.BROKEN
+            outcome = m.GrantOutcome.BROKEN
             return _AttemptFailure.BROKEN
         except _CallerDisconnected:
             cause = "caller disconnected"
@@ -182,9 +182,11 @@
             self._grants.release_grant(outcome, self._timing, self._attempts == 1)
             self._record_attempt(target, outcome, cause, started)
 
-    def _record_attempt(self, target, outcome: m.Outcome, cause: str, started) -> None:
+    def _record_attempt(
+        self, target, outcome: m.GrantOutcome, cause: str, started
+    ) -> None:
         metrics, pool = self._context.metrics, target.pool
-        broken = outcome is m.Outcome.BROKEN
+        broken = outcome is m.GrantOutcome.BROKEN
         version = target.version
         metrics.attempts.inc({"pool": pool, "version": version, "outcome": outcome})
         if self._attempts > 1:
@@ -217,16 +219,16 @@
             says_it_leaves=self._response_head is not None
             and self._response_head.leaving,
             stay_away=self._response_head.stay_away if self._response_head else 0.0,
-            routine=outcome is m.Outcome.DONE,
+            routine=outcome is m.GrantOutcome.DONE,
         )
 
     async def _send(
         self, connection: Connection, target: DiscoveredTarget
-    ) -> tuple[TargetResponse, AnswerHead]:
+    ) -> tuple[TargetResponse, TargetResponseHead]:
         """Send the request and return the response to it, with its parsed head."""
         incoming, dialect = self._incoming, self._context.dialect
         customer = incoming.customer.name if incoming.customer else ""
-        order = Order(
+        order = TargetRequestHead(
             target.id,
             customer,
             incoming.deadline - self._now(),
@@ -261,7 +263,7 @@
         self,
         connection: Connection,
         target_response: TargetResponse,
-        response_head: AnswerHead,
+        response_head: TargetResponseHead,
         target: DiscoveredTarget,
     ) -> _AttemptFailure | None:
         status = target_response.message.code
@@ -278,7 +280,7 @@
             body = await self._read_body(target_response)
             if (
                 status >= MIN_SERVER_ERROR_STATUS
-                and self._incoming.route.repeat is Repeat.WHOLE
+                and self._incoming.route.repeat is RetryMode.WHOLE
             ):
                 self._release_connection(
                     connection, target_response, response_head, target
@@ -386,7 +388,7 @@
     def _can_retry(self) -> bool:
         route = self._incoming.route
         return (
-            route.repeat is not Repeat.NEVER
+            route.repeat is not RetryMode.NEVER
             and self._attempts < route.max_attempts
             and self._context.retries.left(self._incoming.pool, self._now()) >= 1
         )
@@ -405,10 +407,10 @@
             return False
         if (
             failure in (_AttemptFailure.BROKEN, _AttemptFailure.FAILED)
-            and route.repeat is Repeat.NEVER
+            and route.repeat is RetryMode.NEVER
         ):
             return False
-        if self._response is not None and route.repeat is not Repeat.RESUME:
+        if self._response is not None and route.repeat is not RetryMode.RESUME:
             return False
         if failure is _AttemptFailure.BROKEN and not self._standing.may_be_repeated:
             return False
@@ -463,7 +465,9 @@
             seconds=round(self._now() - self._incoming.received, 4),
         )
 
-    def _report_load(self, target: DiscoveredTarget, response_head: AnswerHead) -> None:
+    def _report_load(
+        self, target: DiscoveredTarget, response_head: TargetResponseHead
+    ) -> None:
         if response_head.running >= 0:
             report = m.LoadReport(
                 target.name, response_head.running, response_head.waiting, False
@@ -475,15 +479,15 @@
 
 
 _OUTCOMES = {
-    None: m.Outcome.DONE,
-    _AttemptFailure.FAILED: m.Outcome.FAILED,
-    _AttemptFailure.NOT_RUN: m.Outcome.REJECTED,
-    _AttemptFailure.BROKEN: m.Outcome.BROKEN,
+    None: m.GrantOutcome.DONE,
+    _AttemptFailure.FAILED: m.GrantOutcome.FAILED,
+    _AttemptFailure.NOT_RUN: m.GrantOutcome.REJECTED,
+    _AttemptFailure.BROKEN: m.GrantOutcome.BROKEN,
 }
 
 
 # Outcomes after which the connection has been released already.
-_CONNECTION_RELEASED = (m.Outcome.DONE, m.Outcome.FAILED)
+_CONNECTION_RELEASED = (m.GrantOutcome.DONE, m.GrantOutcome.FAILED)
 
 
 def _is_target_failure(status: int) -> bool:
@@ -491,7 +495,7 @@
     return status >= MIN_SERVER_ERROR_STATUS and status != GATEWAY_TIMEOUT_STATUS
 
 
-def _serialize_request(incoming: Incoming, fields) -> bytes:
+def _serialize_request(incoming: IncomingRequest, fields) -> bytes:
     request = incoming.request
     lines = [f"{request.method} {request.raw_path} HTTP/1.1".encode("latin-1")]
     lines += [name + b": " + value for name, value in fields]
--- a/hibiscusstep/forwarding/grant_client.py
+++ b/hibiscusstep/forwarding/grant_client.py
@@ -3,9 +3,9 @@
 import asyncio
 from dataclasses import dataclass
 
-from hibiscusstep.forwarding.incoming_request import ForwardingContext, Incoming
+from hibiscusstep.forwarding.incoming_request import ForwardingContext, IncomingRequest
 from hibiscusstep.forwarding.model import DiscoveredTarget
-from hibiscusstep.forwarding.quarantine_status import Standing
+from hibiscusstep.forwarding.quarantine_status import QuarantineStatus
 from hibiscusstep.forwarding.quota_request import QUOTA_RETRY_S
 from hibiscusstep.forwarding.stream_timing import StreamTiming
 from hibiscusstep.grants import Ended, Granted, GrantRequest, Refused, Started
@@ -54,11 +54,11 @@
 
     Parameters
     ----------
-    incoming : Incoming
+    incoming : IncomingRequest
         The request.
     context : ForwardingContext
         Services shared by all exchanges.
-    standing : Standing
+    standing : QuarantineStatus
         Quarantine state of the request.
 
     Attributes
@@ -68,7 +68,10 @@
     """
 
     def __init__(
-        self, incoming: Incoming, context: ForwardingContext, standing: Standing
+        self,
+        incoming: IncomingRequest,
+        context: ForwardingContext,
+        standing: QuarantineStatus,
     ) -> None:
         self._incoming = incoming
         self._context = context
@@ -102,12 +105,12 @@
                 return Refusal(reply.retry_after, str(reply.reason))
             if self._standing.is_quarantined:
                 # Other attempts at this request crashed targets during the wait.
-                self.release_grant(m.Outcome.UNUSED)
+                self.release_grant(m.GrantOutcome.UNUSED)
                 return self._quarantine_refusal()
             target = self._context.targets.get(reply.target)
             if target is None:
                 # The dispatcher already knows a target that is not yet known here.
-                self.release_grant(m.Outcome.UNUSED)
+                self.release_grant(m.GrantOutcome.UNUSED)
                 self._avoid.append(reply.target)
                 if len(self._avoid) > MAX_UNKNOWN_TARGETS:
                     return Refusal(
@@ -117,18 +120,18 @@
             if not self._accepts_work(target):
                 continue
             if self._incoming.claim and not self._incoming.claim.take():
-                self.release_grant(m.Outcome.UNUSED)
+                self.release_grant(m.GrantOutcome.UNUSED)
                 return Refusal(QUOTA_RETRY_S, "customer quota exceeded", 429)
             return target
 
     def _accepts_work(self, target: DiscoveredTarget) -> bool:
         """Whether a target accepts work by its latest state; else release the grant."""
         if target.leaving:
-            self.release_grant(m.Outcome.LEAVING)
+            self.release_grant(m.GrantOutcome.LEAVING)
             self._avoid.append(target.name)
             return False
         if self._context.rests.is_resting(target.name, self._now()):
-            self.release_grant(m.Outcome.UNUSED)
+            self.release_grant(m.GrantOutcome.UNUSED)
             return False
         return True
 
@@ -199,7 +202,7 @@
         try:
             reply = await self._context.desk.ask(wanted)
         except MailboxFull:
-            reply = Refused(m.Reason.LOAD, 1.0)
+            reply = Refused(m.RefusalReason.LOAD, 1.0)
         if isinstance(reply, Granted):
             waited = self._now() - started
             self._context.metrics.queue_wait.observe({"pool": incoming.pool}, waited)
@@ -222,7 +225,7 @@
 
     def release_grant(
         self,
-        outcome: m.Outcome,
+        outcome: m.GrantOutcome,
         timing: StreamTiming | None = None,
         first: bool = False,
     ) -> None:
@@ -230,7 +233,7 @@
 
         Parameters
         ----------
-        outcome : Outcome
+        outcome : GrantOutcome
             How the attempt ended.
         timing : StreamTiming or None
             Timing of the response's events; None if nothing was sent.
--- a/hibiscusstep/forwarding/ignored_objects.py
+++ b/hibiscusstep/forwarding/ignored_objects.py
@@ -1,9 +1,9 @@
 """hibiscusstep.forwarding.ignored_objects: objects ignored once per revision."""
 
-__all__ = ["LeftOut"]
+__all__ = ["IgnoredRevisions"]
 
 
-class LeftOut:
+class IgnoredRevisions:
     """Counts ignored objects; one that is read again is counted once per revision.
 
     Attributes
--- a/hibiscusstep/forwarding/incoming_request.py
+++ b/hibiscusstep/forwarding/incoming_request.py
@@ -14,18 +14,18 @@
 from hibiscusstep.forwarding.metrics import ForwardingMetrics
 from hibiscusstep.forwarding.model import CustomerRule, DiscoveredTarget, ForwardRoute
 from hibiscusstep.forwarding.quarantine import Quarantine
-from hibiscusstep.forwarding.quota_request import QuotaClaim
-from hibiscusstep.forwarding.target_backoff import TargetRests
+from hibiscusstep.forwarding.quota_request import QuotaRequest
+from hibiscusstep.forwarding.target_backoff import TargetBackoff
 from hibiscusstep.forwarding.windowed_retry_budget import WindowedRetryBudget
 
-__all__ = ["ForwardingContext", "Incoming"]
+__all__ = ["ForwardingContext", "IncomingRequest"]
 
 # Number of route ranks within one customer rank.
 ROUTE_RANKS = 16
 
 
 @dataclass(frozen=True, slots=True)
-class Incoming:
+class IncomingRequest:
     """A caller's request, completely read and admitted.
 
     Parameters
@@ -44,7 +44,7 @@
         The authenticated customer; None if the request needs no key.
     received : float
         Time of receipt of its head, in seconds on the loop's clock.
-    claim : QuotaClaim or None
+    claim : QuotaRequest or None
         Its claim on the customer's quota.
     """
 
@@ -55,7 +55,7 @@
     pool: str
     customer: CustomerRule | None
     received: float
-    claim: QuotaClaim | None = None
+    claim: QuotaRequest | None = None
 
     @property
     def due(self) -> float:
@@ -125,7 +125,7 @@
         Metrics of this instance.
     quarantine : Quarantine
         Records which requests crash targets.
-    rests : TargetRests
+    rests : TargetBackoff
         Targets that asked this instance to back off.
     on_leaving : callable of DiscoveredTarget
         Called with a target whose response says that it is leaving.
@@ -141,5 +141,5 @@
     targets: dict[str, DiscoveredTarget]
     metrics: ForwardingMetrics
     quarantine: Quarantine
-    rests: TargetRests
+    rests: TargetBackoff
     on_leaving: Callable[[DiscoveredTarget], None]
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -17,24 +17,29 @@
 from hibiscusstep.errors import ConfigurationError
 from hibiscusstep.forwarding.bounds import Bounds
 from hibiscusstep.forwarding.caller_frontend import CallerFrontend
-from hibiscusstep.forwarding.catalog import Catalog, Follow, SaidLeaving, TableNews
+from hibiscusstep.forwarding.catalog import (
+    Catalog,
+    LeavingAnnounced,
+    SetFollowing,
+    TableUpdate,
+)
 from hibiscusstep.forwarding.connections import ConnectionPool
-from hibiscusstep.forwarding.environment import Surroundings
+from hibiscusstep.forwarding.environment import InstanceEnvironment
 from hibiscusstep.forwarding.incoming_request import ForwardingContext
 from hibiscusstep.forwarding.metrics import ForwardingMetrics
 from hibiscusstep.forwarding.model import DiscoveredTarget, RoutingTable
 from hibiscusstep.forwarding.planning import PlannedVersions, Planner
 from hibiscusstep.forwarding.quarantine import Quarantine
 from hibiscusstep.forwarding.quarantine_routes import add_quarantine_routes
-from hibiscusstep.forwarding.quota import CustomersChanged, QuotaKeeper
+from hibiscusstep.forwarding.quota import CustomersChanged, QuotaLimiter
 from hibiscusstep.forwarding.rollout_routes import add_rollout_routes
-from hibiscusstep.forwarding.rollouts import RolloutKeeper, TargetsChanged
-from hibiscusstep.forwarding.saved_usage import KeptUseWorker
+from hibiscusstep.forwarding.rollouts import RolloutCoordinator, TargetsChanged
+from hibiscusstep.forwarding.saved_usage import SavedUsageWorker
 from hibiscusstep.forwarding.serving import serve
-from hibiscusstep.forwarding.state_distributor import Spread
-from hibiscusstep.forwarding.target_backoff import TargetRests
-from hibiscusstep.forwarding.target_estimates import BeliefKeeper
-from hibiscusstep.forwarding.target_messages import to_news
+from hibiscusstep.forwarding.state_distributor import StateDistributor
+from hibiscusstep.forwarding.target_backoff import TargetBackoff
+from hibiscusstep.forwarding.target_estimates import EstimateKeeper
+from hibiscusstep.forwarding.target_messages import from_target_states
 from hibiscusstep.forwarding.windowed_retry_budget import WindowedRetryBudget
 from hibiscusstep.log import decision, dropped_lines, keep_flushing
 from hibiscusstep.mailbox import Worker
@@ -110,11 +115,11 @@
 
     Parameters
     ----------
-    environment : Surroundings
+    environment : InstanceEnvironment
         Platform-specific parts, settings and stores.
     """
 
-    def __init__(self, environment: Surroundings) -> None:
+    def __init__(self, environment: InstanceEnvironment) -> None:
         self._environment = environment
         self._settings = environment.settings
         self._incarnation = secrets.token_hex(6)
@@ -182,12 +187,12 @@
 
     def apply_table(self, table: RoutingTable) -> None:
         """Apply a routing table from a source other than the store."""
-        self._catalog.tell(TableNews(table))
+        self._catalog.tell(TableUpdate(table))
 
     def stop_following_store(self) -> None:
         """Receive changes from peers only."""
         self._follows_store = False
-        self._catalog.tell(Follow(False))
+        self._catalog.tell(SetFollowing(False))
 
     async def run(self) -> None:
         """Run until cancelled or until an essential task fails."""
@@ -282,7 +287,7 @@
             self._on_targets,
             lambda name: self._connections.close_all(name),
         )
-        self._spread = Spread(
+        self._spread = StateDistributor(
             incarnation,
             address,
             settings.data_centre,
@@ -290,10 +295,10 @@
             self._targets,
             lambda: self._catalog.revision if self._targets_known else 0,
         )
-        self._belief_keeper = BeliefKeeper(
+        self._belief_keeper = EstimateKeeper(
             self._environment.beliefs, lambda news: self._dispatching.tell(news)
         )
-        self._rollouts = RolloutKeeper(
+        self._rollouts = RolloutCoordinator(
             name, address, self._links, self._environment.rollouts, self._publish_plan
         )
         self._dispatching = Dispatching(
@@ -316,12 +321,12 @@
             self._deliver_message,
             DISPATCHER_TIMEOUT_S,
         )
-        self._kept_use = KeptUseWorker(
+        self._kept_use = SavedUsageWorker(
             self._environment.use,
             bounds.quota_window,
             lambda use: self._quotas.tell(use),
         )
-        self._quotas = QuotaKeeper(
+        self._quotas = QuotaLimiter(
             incarnation, address, self._links, bounds, self._kept_use
         )
         self._metrics = ForwardingMetrics()
@@ -341,8 +346,8 @@
             self._targets,
             self._metrics,
             self._quarantine,
-            TargetRests(),
-            lambda target: self._catalog.tell(SaidLeaving(target)),
+            TargetBackoff(),
+            lambda target: self._catalog.tell(LeavingAnnounced(target)),
         )
         self._frontend = CallerFrontend(self._context, self._quotas)
         self._workers: list[Worker] = [
@@ -397,7 +402,7 @@
             case ConfigurationReply(value=value):
                 self._apply_peer_configuration(value)
             case TargetStates() as states:
-                self._catalog.tell(to_news(states))
+                self._catalog.tell(from_target_states(states))
             case body if type(body) in self._receivers:
                 self._receivers[type(body)].tell(message)
             case body:
@@ -423,7 +428,7 @@
             return
         has_relay = self._view.parent and self._view.attached
         relay_timed_out = not self.ready and self._uptime() > RELAY_TIMEOUT_S
-        self._catalog.tell(Follow(not has_relay or relay_timed_out))
+        self._catalog.tell(SetFollowing(not has_relay or relay_timed_out))
 
     def _uptime(self) -> float:
         return asyncio.get_running_loop().time() - self._started_at
@@ -474,7 +479,7 @@
 
     def _apply_peer_configuration(self, value: bytes) -> None:
         try:
-            self._catalog.tell(TableNews(self._environment.read_table(value)))
+            self._catalog.tell(TableUpdate(self._environment.read_table(value)))
         except ConfigurationError as error:
             _LOG.error(
                 "configuration from a peer rejected", extra={"error": str(error)}
--- a/hibiscusstep/forwarding/model.py
+++ b/hibiscusstep/forwarding/model.py
@@ -11,14 +11,14 @@
     "ForwardRoute",
     "IngressLimits",
     "PoolRule",
+    "PoolShare",
     "Quota",
-    "Repeat",
+    "RetryMode",
     "RoutingTable",
-    "Share",
 ]
 
 
-class Repeat(enum.Enum):
+class RetryMode(enum.Enum):
     """Whether and how a request may be retried after it was sent to a target."""
 
     NEVER = "it runs at most once"
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class PoolShare:
     """A pool's share of a route's requests, by a weight relative to other pools."""
 
     pool: str
@@ -42,11 +42,11 @@
     ----------
     name, host, prefix : str
         The route with the longest matching prefix of a host applies.
-    shares : tuple of Share
+    shares : tuple of PoolShare
         Pools that serve the route.
     streaming : bool
         Whether responses are streams of server-sent events.
-    repeat : Repeat
+    repeat : RetryMode
         Whether and how requests may be retried.
     timeout : float
         Maximum seconds from the receipt to the end of the response.
@@ -65,9 +65,9 @@
     name: str
     host: str
     prefix: str
-    shares: tuple[Share, ...]
+    shares: tuple[PoolShare, ...]
     streaming: bool
-    repeat: Repeat
+    repeat: RetryMode
     timeout: float
     objective: float
     rank: int
--- a/hibiscusstep/forwarding/planning.py
+++ b/hibiscusstep/forwarding/planning.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from hibiscusstep.forwarding.ignored_objects import LeftOut
+from hibiscusstep.forwarding.ignored_objects import IgnoredRevisions
 from hibiscusstep.forwarding.model import DiscoveredTarget, RoutingTable
 from hibiscusstep.rollout.controller import PlannedRollout
-from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.dispatch_plan import DispatchPlan, PlannedPool, PlannedTarget
 
 __all__ = ["PlannedVersions", "Planner"]
 
@@ -27,7 +27,7 @@
     """Builds plans; targets of pools that the routing table lacks are ignored."""
 
     def __init__(self) -> None:
-        self._ignored = LeftOut()
+        self._ignored = IgnoredRevisions()
 
     @property
     def ignored_targets(self) -> int:
@@ -39,7 +39,7 @@
         table: RoutingTable,
         targets: dict[str, DiscoveredTarget],
         versions: Callable[[str, set[str]], PlannedVersions] | None = None,
-    ) -> Plan:
+    ) -> DispatchPlan:
         """Return the pools of a routing table with their targets.
 
         Parameters
@@ -69,7 +69,7 @@
             pool.targets[name] = PlannedTarget(
                 target.slots, target.leaving, target.data_centre, target.version
             )
-        return Plan(pools)
+        return DispatchPlan(pools)
 
     def _ignore(self, target: DiscoveredTarget) -> None:
         if not self._ignored.is_new(target.name, target.revision):
--- a/hibiscusstep/forwarding/quarantine_status.py
+++ b/hibiscusstep/forwarding/quarantine_status.py
@@ -3,17 +3,17 @@
 from functools import cached_property
 
 from hibiscusstep.forwarding.crash_detector import InterruptedAttempt
-from hibiscusstep.forwarding.incoming_request import Incoming
+from hibiscusstep.forwarding.incoming_request import IncomingRequest
 from hibiscusstep.forwarding.model import DiscoveredTarget
 from hibiscusstep.forwarding.quarantine import Quarantine
 
-__all__ = ["Standing"]
+__all__ = ["QuarantineStatus"]
 
 _TITLE = "This request is quarantined"
 _DETAIL = "Targets crashed each time that they ran it, so it is sent to no other."
 
 
-class Standing:
+class QuarantineStatus:
     """Quarantine status of one request.
 
     The fingerprint hashes the whole body, so it is computed only if the quarantine is
@@ -21,13 +21,13 @@
 
     Parameters
     ----------
-    incoming : Incoming
+    incoming : IncomingRequest
         The request.
     quarantine : Quarantine
         Quarantine shared by all instances.
     """
 
-    def __init__(self, incoming: Incoming, quarantine: Quarantine) -> None:
+    def __init__(self, incoming: IncomingRequest, quarantine: Quarantine) -> None:
         self._incoming = incoming
         self._quarantine = quarantine
 
--- a/hibiscusstep/forwarding/quota.py
+++ b/hibiscusstep/forwarding/quota.py
@@ -9,12 +9,12 @@
 from hibiscusstep.forwarding.model import CustomerRule
 from hibiscusstep.forwarding.quota_limit import QuotaLimit
 from hibiscusstep.forwarding.quota_request import TokenReservation
-from hibiscusstep.forwarding.reachability import Reach
+from hibiscusstep.forwarding.reachability import Reachability
 from hibiscusstep.forwarding.saved_usage import (
     ReadUse,
-    StoredUse,
-    StoredUsePlanner,
-    WriteUse,
+    SavedUsage,
+    SavedUsagePlanner,
+    SaveUsage,
 )
 from hibiscusstep.forwarding.usage import UsageLedger
 from hibiscusstep.log import decision
@@ -25,7 +25,7 @@
 from hibiscusstep.peerlink import Send
 from hibiscusstep.store import StoreRestored
 
-__all__ = ["CustomersChanged", "QuotaKeeper"]
+__all__ = ["CustomersChanged", "QuotaLimiter"]
 
 # Interval at which instances exchange their token usage. Usage between two exchanges is
 # bounded by the allowed overage of a quota.
@@ -54,7 +54,7 @@
     customers: tuple[CustomerRule, ...]
 
 
-class QuotaKeeper(Worker):
+class QuotaLimiter(Worker):
     """Tracks the token usage of all instances and enforces the quotas of customers.
 
     Each instance sends its totals to its neighbours several times a second. A relay
@@ -92,9 +92,9 @@
         self._use_store = use_store
         now = asyncio.get_running_loop().time()
         self._ledger = UsageLedger(incarnation, bounds.quota_window, now)
-        self._reach = Reach(now)
+        self._reach = Reachability(now)
         self._limit = QuotaLimit(bounds, self._ledger, self._reach)
-        self._planner = StoredUsePlanner()
+        self._planner = SavedUsagePlanner()
         self._view = View()
         self._rules: dict[str, CustomerRule] = {}
         self._pending: dict[str, int] = defaultdict(int)
@@ -143,7 +143,7 @@
                 self._process_view(view, now)
             case CustomersChanged(customers=customers):
                 self._rules = {rule.name: rule for rule in customers}
-            case StoredUse(usage=usage):
+            case SavedUsage(usage=usage):
                 self._ledger.apply_stored(usage, now)
                 self._send_history_to_followers(now)
             case StoreRestored():
@@ -412,7 +412,7 @@
         }
         document = self._planner.next_document(self._ledger, limits, now)
         if document is not None:
-            self._use_store.tell(WriteUse(document))
+            self._use_store.tell(SaveUsage(document))
 
 
 def _changed_names(totals: dict[str, int], sent_totals: dict[str, int]) -> list[str]:
--- a/hibiscusstep/forwarding/quota_limit.py
+++ b/hibiscusstep/forwarding/quota_limit.py
@@ -2,8 +2,8 @@
 
 from hibiscusstep.forwarding.bounds import Bounds
 from hibiscusstep.forwarding.model import CustomerRule
-from hibiscusstep.forwarding.reachability import Reach
-from hibiscusstep.forwarding.saved_usage import StoredUsePlanner
+from hibiscusstep.forwarding.reachability import Reachability
+from hibiscusstep.forwarding.saved_usage import SavedUsagePlanner
 from hibiscusstep.forwarding.usage import UsageLedger
 
 __all__ = ["QuotaLimit"]
@@ -28,11 +28,13 @@
         Window and allowed overage.
     ledger : UsageLedger
         Known token usage of customers.
-    reach : Reach
+    reach : Reachability
         Counts of reachable and unreachable instances.
     """
 
-    def __init__(self, bounds: Bounds, ledger: UsageLedger, reach: Reach) -> None:
+    def __init__(
+        self, bounds: Bounds, ledger: UsageLedger, reach: Reachability
+    ) -> None:
         self.bounds = bounds
         self._ledger = ledger
         self._reach = reach
@@ -69,7 +71,7 @@
             )
         if customer.name in listed:
             return self.full_limit(customer)
-        return (1 - StoredUsePlanner.UNLISTED_SHARE) * self.full_limit(customer)
+        return (1 - SavedUsagePlanner.UNLISTED_SHARE) * self.full_limit(customer)
 
     def _quota(self, customer: CustomerRule) -> float:
         """Return the tokens per window that the quota alone allows."""
--- a/hibiscusstep/forwarding/quota_request.py
+++ b/hibiscusstep/forwarding/quota_request.py
@@ -7,9 +7,9 @@
 from hibiscusstep.forwarding.model import CustomerRule
 
 if TYPE_CHECKING:
-    from hibiscusstep.forwarding.quota import QuotaKeeper
+    from hibiscusstep.forwarding.quota import QuotaLimiter
 
-__all__ = ["QUOTA_RETRY_S", "QuotaClaim", "TokenReservation"]
+__all__ = ["QUOTA_RETRY_S", "QuotaRequest", "TokenReservation"]
 
 # Retry-After, in seconds, of a request that exceeds a quota.
 QUOTA_RETRY_S = 1.0
@@ -20,7 +20,7 @@
 
     Parameters
     ----------
-    keeper : QuotaKeeper
+    keeper : QuotaLimiter
         Counts the tokens.
     customer : str
         Name of the customer.
@@ -30,7 +30,7 @@
 
     __slots__ = ("_customer", "_keeper", "_open", "_tokens")
 
-    def __init__(self, keeper: QuotaKeeper, customer: str, tokens: int) -> None:
+    def __init__(self, keeper: QuotaLimiter, customer: str, tokens: int) -> None:
         self._keeper = keeper
         self._customer = customer
         self._tokens = tokens
@@ -49,7 +49,7 @@
             self._keeper.settle(self._customer, self._tokens, used=False)
 
 
-class QuotaClaim:
+class QuotaRequest:
     """The tokens of a request, reserved only once the request has a target.
 
     A waiting request may still be refused for load. If waiting requests held
@@ -57,7 +57,7 @@
 
     Parameters
     ----------
-    keeper : QuotaKeeper
+    keeper : QuotaLimiter
         Counts the tokens.
     customer : CustomerRule
         The customer.
@@ -70,7 +70,7 @@
     __slots__ = ("_customer", "_keeper", "_request", "_ticket", "_tokens")
 
     def __init__(
-        self, keeper: QuotaKeeper, customer: CustomerRule, tokens: int, request: str
+        self, keeper: QuotaLimiter, customer: CustomerRule, tokens: int, request: str
     ) -> None:
         self._keeper = keeper
         self._customer = customer
--- a/hibiscusstep/forwarding/reachability.py
+++ b/hibiscusstep/forwarding/reachability.py
@@ -3,7 +3,7 @@
 from hibiscusstep.membership.tracker import FORGET_DOUBT_S
 from hibiscusstep.membership.view import View
 
-__all__ = ["Reach"]
+__all__ = ["Reachability"]
 
 # How long the number of instances reported at the start counts. A peer's number counts
 # as long as the peer's own doubt about silent members; the store's counts for two quota
@@ -14,7 +14,7 @@
 DISCOVERY_S = 1.0
 
 
-class Reach:
+class Reachability:
     """Counts the reachable instances and those that may be alive but unreachable.
 
     An instance that started inside a network partition has never seen the other side.
--- a/hibiscusstep/forwarding/rollout_routes.py
+++ b/hibiscusstep/forwarding/rollout_routes.py
@@ -4,7 +4,7 @@
 
 from aiohttp import web
 
-from hibiscusstep.forwarding.rollouts import RolloutKeeper
+from hibiscusstep.forwarding.rollouts import RolloutCoordinator
 
 __all__ = ["add_rollout_routes"]
 
@@ -13,7 +13,7 @@
 
 def add_rollout_routes(
     app: web.Application,
-    keeper: RolloutKeeper,
+    keeper: RolloutCoordinator,
     local_rollouts: Callable[[], dict[str, dict]],
 ) -> None:
     """Add ``GET /rollouts``: each pool's current versions and its order's progress.
--- a/hibiscusstep/forwarding/rollouts.py
+++ b/hibiscusstep/forwarding/rollouts.py
@@ -21,10 +21,10 @@
 from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import Received, RolloutRecord, RolloutRecords, RolloutWrite
 from hibiscusstep.rollout.order import RolloutOrder, RolloutState
-from hibiscusstep.rollout.rollout_update import RolloutNews
+from hibiscusstep.rollout.rollout_update import RolloutUpdate
 from hibiscusstep.store import HistoryLost, RolloutStore
 
-__all__ = ["RolloutKeeper", "TargetsChanged"]
+__all__ = ["RolloutCoordinator", "TargetsChanged"]
 
 TICK_S = 0.25
 # Number of instances, in addition to the pools' dispatchers, that watch the store.
@@ -86,7 +86,7 @@
     document: dict | None
 
 
-class RolloutKeeper(Worker):
+class RolloutCoordinator(Worker):
     """Tracks the orders, shares them with the other instances and writes their status.
 
     A pool's dispatcher carries an order out. This worker keeps the state that has to
@@ -192,7 +192,7 @@
                 self._write_for_peer(request)
             case ViewChanged(view=view):
                 self._update_view(view, now)
-            case RolloutNews() as news:
+            case RolloutUpdate() as news:
                 self._handle_progress(news, now)
             case _Listed() as listed:
                 self._apply_listing(listed, now)
@@ -344,7 +344,7 @@
 
     # The order's status.
 
-    def _handle_progress(self, news: RolloutNews, now: float) -> None:
+    def _handle_progress(self, news: RolloutUpdate, now: float) -> None:
         self.book.set_progress(news.pool, news.number, news.progress)
         if news.state is None:
             if now >= self._published_at + PUBLISH_INTERVAL_S:
--- a/hibiscusstep/forwarding/saved_usage.py
+++ b/hibiscusstep/forwarding/saved_usage.py
@@ -12,7 +12,13 @@
 from hibiscusstep.peer import Usage, UsageScope
 from hibiscusstep.store import UseStore
 
-__all__ = ["WriteUse", "StoredUse", "KeptUseWorker", "ReadUse", "StoredUsePlanner"]
+__all__ = [
+    "ReadUse",
+    "SaveUsage",
+    "SavedUsage",
+    "SavedUsagePlanner",
+    "SavedUsageWorker",
+]
 
 _LOG = logging.getLogger(__name__)
 _INCARNATION = "kept"
@@ -26,20 +32,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoredUse:
+class SavedUsage:
     """The stored usage from before this instance started."""
 
     usage: Usage
 
 
 @dataclass(frozen=True, slots=True)
-class WriteUse:
+class SaveUsage:
     """Usage to write to the store in place of the previous."""
 
     usage: Usage
 
 
-class StoredUsePlanner:
+class SavedUsagePlanner:
     """Decides when token usage is written to the store, and for which customers.
 
     Only customers above a share of their limit are listed, and a customer causes a new
@@ -122,7 +128,7 @@
         return row
 
 
-class KeptUseWorker(Worker):
+class SavedUsageWorker(Worker):
     """Reads the stored usage once and writes new usage.
 
     Parameters
@@ -131,12 +137,12 @@
         Holds the document.
     span : float
         Length of the quota window in seconds.
-    on_read : callable of StoredUse
+    on_read : callable of SavedUsage
         Receives the stored usage.
     """
 
     def __init__(
-        self, store: UseStore, span: float, on_read: Callable[[StoredUse], None]
+        self, store: UseStore, span: float, on_read: Callable[[SavedUsage], None]
     ) -> None:
         super().__init__("kept-use", tick_interval=RETRY_INTERVAL_S)
         self._store = store
@@ -152,7 +158,7 @@
                 first_request, self._read_requested = not self._read_requested, True
                 if first_request:
                     await self._read_store()
-            case WriteUse(usage=usage):
+            case SaveUsage(usage=usage):
                 self._unwritten = usage
                 await self._write()
             case Tick():
@@ -169,7 +175,7 @@
         self._read_done = True
         usage = self._parse_document(reply.unwrap())
         decision("use-read", customers=len(usage.customers))
-        self._on_read(StoredUse(usage))
+        self._on_read(SavedUsage(usage))
 
     def _parse_document(self, document: dict | None) -> Usage:
         """Parse a document; return empty usage if it is missing or malformed."""
--- a/hibiscusstep/forwarding/state_distributor.py
+++ b/hibiscusstep/forwarding/state_distributor.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 
 from hibiscusstep.forwarding.model import DiscoveredTarget, RoutingTable
-from hibiscusstep.forwarding.target_messages import to_state
+from hibiscusstep.forwarding.target_messages import to_target_state
 from hibiscusstep.mailbox import Worker
 from hibiscusstep.membership.view import Member, View
 from hibiscusstep.peer import ConfigurationAsk, ConfigurationReply, TargetStates
 from hibiscusstep.peerlink import Send
 from hibiscusstep.store import Change
 
-__all__ = ["Spread"]
+__all__ = ["StateDistributor"]
 
 # Relays usually read a configuration from the store as early as their peers, so they
 # wait before they request it.
@@ -21,7 +21,7 @@
 REQUEST_RETRY_S = 1.0
 
 
-class Spread:
+class StateDistributor:
     """Sends targets and configurations to peers and requests newer configurations.
 
     Changes of targets are sent to the neighbours immediately. A configuration is sent
@@ -71,7 +71,7 @@
 
     def tell_changes(self, changes: list[Change]) -> None:
         """Send changes of targets to the neighbours."""
-        states = [to_state(change) for change in changes]
+        states = [to_target_state(change) for change in changes]
         if states:
             for address in self._view.neighbours(self._address):
                 self._links.tell(Send(address, TargetStates(states)))
@@ -85,7 +85,9 @@
         revision = self._revision()
         if revision:
             known = self._targets.values()
-            states = [to_state(Change(item.id, item, revision)) for item in known]
+            states = [
+                to_target_state(Change(item.id, item, revision)) for item in known
+            ]
             self._links.tell(Send(address, TargetStates(states, revision)))
 
     def hand_table_to(self, address: str) -> None:
--- a/hibiscusstep/forwarding/target_backoff.py
+++ b/hibiscusstep/forwarding/target_backoff.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Iterable
 
-__all__ = ["TargetRests"]
+__all__ = ["TargetBackoff"]
 
 
-class TargetRests:
+class TargetBackoff:
     """Times until which this instance sends nothing to targets that rejected a request.
 
     Targets set the time per instance, so other instances may still be served.
--- a/hibiscusstep/forwarding/target_messages.py
+++ b/hibiscusstep/forwarding/target_messages.py
@@ -1,23 +1,23 @@
 """hibiscusstep.forwarding.target_messages: peer messages about targets."""
 
-from hibiscusstep.forwarding.catalog import TargetListing, TargetNews
+from hibiscusstep.forwarding.catalog import TargetListing, TargetUpdate
 from hibiscusstep.forwarding.model import DiscoveredTarget
 from hibiscusstep.peer import TargetState, TargetStates
 from hibiscusstep.store import Change, Listing
 
-__all__ = ["to_news", "to_state"]
+__all__ = ["from_target_states", "to_target_state"]
 
 
-def to_news(message: TargetStates) -> TargetNews | TargetListing:
+def from_target_states(message: TargetStates) -> TargetUpdate | TargetListing:
     """Return a peer's message as changes, or as a list if it carries a revision."""
     changes = tuple(_to_change(state) for state in message.states)
     if not message.revision:
-        return TargetNews(changes)
+        return TargetUpdate(changes)
     items = {change.name: change.item for change in changes if change.item}
     return TargetListing(Listing(items, message.revision))
 
 
-def to_state(change: Change) -> TargetState:
+def to_target_state(change: Change) -> TargetState:
     """Return a change as a peer message."""
     item = change.item
     if item is None:
--- a/hibiscusstep/grants.py
+++ b/hibiscusstep/grants.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from hibiscusstep.peer import WorkInfo
-from hibiscusstep.routing.messages import Outcome, Reason
+from hibiscusstep.routing.messages import GrantOutcome, RefusalReason
 
 __all__ = ["Ended", "Granted", "GrantRequest", "Refused", "Started"]
 
@@ -52,7 +52,7 @@
 class Refused:
     """The request is not run."""
 
-    reason: Reason
+    reason: RefusalReason
     retry_after: float
 
 
@@ -71,7 +71,7 @@
 
     pool: str
     ask: str
-    outcome: Outcome
+    outcome: GrantOutcome
     tokens: int = 0
     decode_seconds: float = 0.0
     computed: int = -1
--- a/hibiscusstep/load/drawn_rollout.py
+++ b/hibiscusstep/load/drawn_rollout.py
@@ -5,7 +5,7 @@
 
 import numpy as np
 
-from hibiscusstep.routing.engine_model import STEP_S
+from hibiscusstep.routing.engine_model import ENGINE_STEP_S
 
 __all__ = [
     "Badness",
@@ -166,7 +166,7 @@
     )
     weights = sum(route.weight for route in routes)
     size = sum(route.weight * route.size for route in routes) / weights
-    seconds = size * STEP_S + 0.03 if engine else size
+    seconds = size * ENGINE_STEP_S + 0.03 if engine else size
     capacity = sum(
         slots / (s * seconds * (1 + SLOWDOWN_PER_REQUEST * slots)) for s in old
     )
--- a/hibiscusstep/load/emulated_target.py
+++ b/hibiscusstep/load/emulated_target.py
@@ -14,8 +14,8 @@
     Route,
 )
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.engine_model import STEP_S
-from hibiscusstep.routing.target_selector import PLAIN_SERVICE_S
+from hibiscusstep.routing.engine_model import ENGINE_STEP_S
+from hibiscusstep.routing.target_selector import PLAIN_REQUEST_S
 
 __all__ = [
     "CALLER_TIMEOUT_S",
@@ -44,7 +44,7 @@
 
     Parameters
     ----------
-    outcome : Outcome
+    outcome : GrantOutcome
         How the request ends.
     first, seconds : float
         Seconds to its first token (0 for none), and to its end.
@@ -54,7 +54,7 @@
         Whether the answer is a bad one of the new version.
     """
 
-    outcome: m.Outcome
+    outcome: m.GrantOutcome
     first: float
     seconds: float
     events: int
@@ -112,12 +112,12 @@
         )
         failed = self.draw.random() < route.error_share or self._is_grey(now)
         failed |= bad and scenario.badness is Badness.FAILS
-        outcome = m.Outcome.FAILED if failed else m.Outcome.DONE
+        outcome = m.GrantOutcome.FAILED if failed else m.GrantOutcome.DONE
         if failed:
-            seconds = min(seconds, max(MIN_FAILURE_S, 0.5 * PLAIN_SERVICE_S))
+            seconds = min(seconds, max(MIN_FAILURE_S, 0.5 * PLAIN_REQUEST_S))
             events = 0
         if seconds > CALLER_TIMEOUT_S:
-            seconds, outcome = CALLER_TIMEOUT_S, m.Outcome.CANCELLED
+            seconds, outcome = CALLER_TIMEOUT_S, m.GrantOutcome.CANCELLED
         is_bad = bad and self.version == NEW_VERSION
         return EmulatedRun(outcome, first, seconds, events, is_bad)
 
@@ -131,7 +131,7 @@
             return 0.0, max(MIN_SERVICE_S, size) * time_factor, 0
         first = (FIRST_TOKEN_S + PROMPT_TOKENS / PREFILL_TOKENS_PER_S) * time_factor
         events = max(1, round(size / TOKENS_PER_EVENT))
-        seconds = first + events * TOKENS_PER_EVENT * STEP_S * time_factor
+        seconds = first + events * TOKENS_PER_EVENT * ENGINE_STEP_S * time_factor
         return first, seconds, events
 
     def _is_bad(self, route: Route, now: float) -> bool:
--- a/hibiscusstep/load/experiment.py
+++ b/hibiscusstep/load/experiment.py
@@ -7,7 +7,7 @@
 
 from hibiscusstep.load.deployment import draw_deployment
 from hibiscusstep.load.pool_emulator import PoolEmulator
-from hibiscusstep.routing.switches import ALL_ON, Switches
+from hibiscusstep.routing.switches import ALL_ENABLED, Switches
 
 __all__ = ["ALL_OFF", "run_experiment", "table"]
 
@@ -37,7 +37,7 @@
     ValueError
         If a mechanism is not known.
     """
-    chosen = {"": ALL_ON}
+    chosen = {"": ALL_ENABLED}
     chosen |= {off: Switches.without(off) for off in variants or (*MECHANISMS, ALL_OFF)}
     runs: dict[str, dict[str, float]] = {off: {} for off in chosen}
     for number in deployments:
--- a/hibiscusstep/load/pool_emulator.py
+++ b/hibiscusstep/load/pool_emulator.py
@@ -19,9 +19,9 @@
     RequestKind,
 )
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.dispatch_plan import DispatchPlan, PlannedPool, PlannedTarget
 from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
-from hibiscusstep.routing.switches import ALL_ON, Switches
+from hibiscusstep.routing.switches import ALL_ENABLED, Switches
 from hibiscusstep.standins.batching import Batch, EngineSpeed, Job
 
 __all__ = ["Outcomes", "PoolEmulator"]
@@ -137,7 +137,7 @@
     """
 
     def __init__(
-        self, deployment: DrawnDeployment, seed: int, switches: Switches = ALL_ON
+        self, deployment: DrawnDeployment, seed: int, switches: Switches = ALL_ENABLED
     ) -> None:
         self._deployment = deployment
         self._switches = switches
@@ -157,7 +157,7 @@
         # Those of instances that dispatch for themselves.
         self._own: dict[str, SlotDispatcher] = {}
         self._alone_until = 0.0
-        self._kept: m.Learnt | None = None
+        self._kept: m.LearnedEstimates | None = None
         self._dispatcher = self._new_dispatcher()
 
     def run(self) -> Outcomes:
@@ -189,7 +189,7 @@
         d = self._deployment
         targets = {name: PlannedTarget(d.slots) for name in self._names}
         pool = PlannedPool(True, d.tokens_per_event, d.max_pause, targets)
-        plan = Plan({POOL: pool})
+        plan = DispatchPlan({POOL: pool})
         dispatcher = SlotDispatcher(POOL, plan, alone=instance, switches=self._switches)
         if instance:
             dispatcher.share = min(1.0, ALONE_SHARES / d.instances)
@@ -211,7 +211,7 @@
 
     def _carry_out(self, decisions: list[m.Decision]) -> None:
         for decision in decisions:
-            if isinstance(decision, m.Inquire):
+            if isinstance(decision, m.QueryGrants):
                 self._at(self._now + 2 * HOP_S, self._answer, decision.instance)
                 continue
             request = self._by_ask.get(decision.work.ask)
@@ -226,7 +226,7 @@
         """Tell the dispatcher what an instance holds, if it lives."""
         if instance in self._instances:
             held = {a for a, r in self._by_ask.items() if r.instance == instance}
-            self._tell(m.Held(instance, frozenset(held)), instance)
+            self._tell(m.HeldGrants(instance, frozenset(held)), instance)
 
     def _tick(self) -> None:
         for dispatcher in (self._dispatcher, *self._own.values()):
@@ -269,7 +269,7 @@
         request.asked = now
         patience = max(LEAVE_AFTER_S, LEAVE_OBJECTIVES * kind.objective)
         self._at(now + patience, self._leave, request, request.ask)
-        self._tell(m.Ask(self._work(request)), request.instance)
+        self._tell(m.RequestGrant(self._work(request)), request.instance)
 
     def _work(self, request: _Request) -> m.Work:
         kind, asked = request.kind, request.asked
@@ -352,15 +352,17 @@
         self._outcomes.counts[how] += 1
         self._outcomes.earned[self._window(request)] += value
         self._outcomes.served[request.kind.rank] += value > 0
-        self._release(request, m.Outcome.DONE if value else m.Outcome.CANCELLED)
+        self._release(
+            request, m.GrantOutcome.DONE if value else m.GrantOutcome.CANCELLED
+        )
 
-    def _release(self, request: _Request, outcome: m.Outcome) -> None:
+    def _release(self, request: _Request, outcome: m.GrantOutcome) -> None:
         """Tell the dispatcher that a request is gone from it, or from its target."""
         self._by_ask.pop(request.ask, None)
         if request.job is None:
             self._tell(m.Withdraw(request.ask), request.instance)
             return
-        request.job.cancelled = outcome is not m.Outcome.DONE
+        request.job.cancelled = outcome is not m.GrantOutcome.DONE
         request.job = None
         finished = m.Finished(
             request.ask,
@@ -406,10 +408,10 @@
         self._own = {}
         for request in self._by_ask.values():
             if request.job:
-                self._tell(m.Adopt(self._work(request), request.target))
+                self._tell(m.AdoptRunning(self._work(request), request.target))
         for request in list(self._by_ask.values()):
             if not request.job:
-                self._tell(m.Ask(self._work(request)))
+                self._tell(m.RequestGrant(self._work(request)))
 
     def _lose(self, loss: InstanceLoss) -> None:
         """Lose some instances without a word; their targets work on."""
@@ -423,10 +425,10 @@
                 request.ended = True
                 self._outcomes.counts["lost"] += 1
 
-    def _kept_by(self, dispatcher: SlotDispatcher) -> m.Learnt | None:
+    def _kept_by(self, dispatcher: SlotDispatcher) -> m.LearnedEstimates | None:
         learnt = dispatcher.learnt
         if learnt is None:
             return None
-        return m.Learnt(
+        return m.LearnedEstimates(
             learnt.slowness, learnt.first, learnt.token, learnt.share, old=True
         )
--- a/hibiscusstep/load/rollout_emulator.py
+++ b/hibiscusstep/load/rollout_emulator.py
@@ -32,7 +32,7 @@
 from hibiscusstep.rollout.budget import ExposureLimits
 from hibiscusstep.rollout.order import RolloutOrder, RolloutState
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.dispatch_plan import DispatchPlan, PlannedPool, PlannedTarget
 from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 
 __all__ = ["RolloutEmulator"]
@@ -80,7 +80,7 @@
             for n, slowness in enumerate(of)
         }
         self._version_table = PoolVersionTable()
-        self._stale_plan: Plan | None = None
+        self._stale_plan: DispatchPlan | None = None
         self._revision = 1
         self._completed = False
         self._requests: dict[str, tuple[Route, float, str]] = {}
@@ -142,7 +142,7 @@
         ]
         self._version_table.update_targets(found, self._now)
 
-    def _plan(self) -> Plan:
+    def _plan(self) -> DispatchPlan:
         serving = self._version_table.serving(POOL)
         rollout = self._version_table.planned(POOL, ExposureLimits(), 0.3)
         targets = {
@@ -157,7 +157,7 @@
         pool = PlannedPool(
             self._scenario.engine, TOKENS_PER_EVENT, 60.0, targets, serving, rollout
         )
-        return Plan({POOL: pool})
+        return DispatchPlan({POOL: pool})
 
     def _create_dispatcher(self, alone: str = "") -> SlotDispatcher:
         plan = self._stale_plan if alone and self._stale_plan else self._plan()
@@ -197,7 +197,7 @@
         self._dispatcher = self._create_dispatcher()
         for target in self._targets.values():
             for work in target.running.values():
-                self._deliver(self._dispatcher, m.Adopt(work, target.name))
+                self._deliver(self._dispatcher, m.AdoptRunning(work, target.name))
 
     def _begin_partition(self) -> None:
         self._stale_plan = self._plan()
@@ -242,9 +242,9 @@
             if dispatcher is None:
                 dispatcher = self._create_dispatcher(f"i{instance}")
                 self._partition_dispatchers[f"i{instance}"] = dispatcher
-            self._deliver(dispatcher, m.Ask(work))
+            self._deliver(dispatcher, m.RequestGrant(work))
         elif self._dispatcher:
-            self._deliver(self._dispatcher, m.Ask(work))
+            self._deliver(self._dispatcher, m.RequestGrant(work))
         else:
             self._result.refused += 1
 
@@ -256,9 +256,9 @@
                 )
             elif isinstance(action, m.Refuse):
                 self._result.refused += 1
-            elif isinstance(action, m.Conclude):
+            elif isinstance(action, m.ConcludeRollout):
                 self._conclude(action)
-            elif isinstance(action, m.Inquire):
+            elif isinstance(action, m.QueryGrants):
                 self._schedule(
                     self._now + 2 * NETWORK_DELAY_S,
                     self._send_held,
@@ -274,19 +274,19 @@
             for ask, work in target.running.items()
             if work.instance == instance
         )
-        self._deliver(dispatcher, m.Held(instance, held))
+        self._deliver(dispatcher, m.HeldGrants(instance, held))
 
     def _send(self, dispatcher: SlotDispatcher, grant: m.Grant) -> None:
         work, target = grant.work, self._targets[grant.target]
         if self._now < target.down_until or (
             self._completed and target.version == OLD_VERSION
         ):
-            self._deliver(dispatcher, m.Finished(work.ask, m.Outcome.UNREACHABLE))
+            self._deliver(dispatcher, m.Finished(work.ask, m.GrantOutcome.UNREACHABLE))
             return
         self._count_arrival(target)
         route, size, _ = self._requests[work.ask]
         run = target.begin(work, route, size, self._now)
-        if run.first and run.outcome is not m.Outcome.FAILED:
+        if run.first and run.outcome is not m.GrantOutcome.FAILED:
             self._schedule(
                 self._now + run.first,
                 self._send_first_token,
@@ -337,11 +337,13 @@
             for ask in list(target.running):
                 del target.running[ask]
                 if self._dispatcher:
-                    self._deliver(self._dispatcher, m.Finished(ask, m.Outcome.BROKEN))
+                    self._deliver(
+                        self._dispatcher, m.Finished(ask, m.GrantOutcome.BROKEN)
+                    )
 
     # Status of the order.
 
-    def _conclude(self, conclusion: m.Conclude) -> None:
+    def _conclude(self, conclusion: m.ConcludeRollout) -> None:
         self._version_table.conclude(POOL, conclusion.number, conclusion.state)
         self._result.reason = conclusion.reason
         self._replan()
@@ -383,5 +385,5 @@
                     del target.running[ask]
                     if self._dispatcher:
                         self._deliver(
-                            self._dispatcher, m.Finished(ask, m.Outcome.BROKEN)
+                            self._dispatcher, m.Finished(ask, m.GrantOutcome.BROKEN)
                         )
--- a/hibiscusstep/load/rollout_report.py
+++ b/hibiscusstep/load/rollout_report.py
@@ -8,15 +8,15 @@
 from hibiscusstep.load.rollout_result import RolloutResult
 from hibiscusstep.rollout.order import RolloutState
 
-__all__ = ["play_rollout", "rollout_table"]
+__all__ = ["rollout_table_lines", "run_rollout"]
 
 
-def play_rollout(seed: int, test: str = "cusum") -> RolloutResult:
+def run_rollout(seed: int, test: str = "cusum") -> RolloutResult:
     """Return the result of the order in the scenario of a seed."""
     return RolloutEmulator(draw_scenario(seed), seed, test).run()
 
 
-def rollout_table(played: dict[int, RolloutResult]) -> Iterator[str]:
+def rollout_table_lines(played: dict[int, RolloutResult]) -> Iterator[str]:
     """Yield a header, a row for each seed, and totals.
 
     Parameters
--- a/hibiscusstep/platform/client.py
+++ b/hibiscusstep/platform/client.py
@@ -17,7 +17,7 @@
     PlatformNotFound,
     PlatformUnavailable,
 )
-from hibiscusstep.forwarding.ignored_objects import LeftOut
+from hibiscusstep.forwarding.ignored_objects import IgnoredRevisions
 from hibiscusstep.platform import fields as f
 from hibiscusstep.platform.documents import ROLLOUT_KIND, rollout_status
 from hibiscusstep.platform.eras import EraTracker, join_revision, split_revision
@@ -220,7 +220,7 @@
         self._client = client
         self._kind = kind
         self._decode = decode
-        self._ignored = LeftOut()
+        self._ignored = IgnoredRevisions()
         self.name = kind
 
     @property
--- a/hibiscusstep/platform/documents.py
+++ b/hibiscusstep/platform/documents.py
@@ -9,10 +9,10 @@
     ForwardRoute,
     IngressLimits,
     PoolRule,
+    PoolShare,
     Quota,
-    Repeat,
+    RetryMode,
     RoutingTable,
-    Share,
 )
 from hibiscusstep.platform import fields as f
 from hibiscusstep.rollout.order import RolloutOrder, RolloutState
@@ -58,7 +58,7 @@
     """
     if name != CONFIGURATION_NAME:
         raise ConfigurationError("unexpected object name", key=name)
-    return table_of(spec)
+    return decode_table_spec(spec)
 
 
 def decode_table_bytes(value: bytes) -> RoutingTable:
@@ -70,12 +70,12 @@
         If it is malformed.
     """
     try:
-        return table_of(orjson.loads(value))
+        return decode_table_spec(orjson.loads(value))
     except orjson.JSONDecodeError as cause:
         raise ConfigurationError(str(cause)) from None
 
 
-def table_of(spec: dict) -> RoutingTable:
+def decode_table_spec(spec: dict) -> RoutingTable:
     """Return the configuration of a document.
 
     Raises
@@ -169,7 +169,7 @@
     split = entry.get("TrafficSplit") or [
         {"Service": entry.get("Service"), "Weight": 1}
     ]
-    shares = tuple(Share(part["Service"], float(part["Weight"])) for part in split)
+    shares = tuple(PoolShare(part["Service"], float(part["Weight"])) for part in split)
     kind = entry.get("Kind", "unsafe")
     return ForwardRoute(
         name=entry["Name"],
@@ -187,10 +187,10 @@
     )
 
 
-def _decode_repeat(kind: str, resumable: bool) -> Repeat:
+def _decode_repeat(kind: str, resumable: bool) -> RetryMode:
     if kind == "safe":
-        return Repeat.WHOLE
-    return Repeat.RESUME if kind == "streaming" and resumable else Repeat.NEVER
+        return RetryMode.WHOLE
+    return RetryMode.RESUME if kind == "streaming" and resumable else RetryMode.NEVER
 
 
 def _decode_customer(entry: dict) -> CustomerRule:
--- a/hibiscusstep/platform/environment.py
+++ b/hibiscusstep/platform/environment.py
@@ -3,7 +3,7 @@
 import socket
 from pathlib import Path
 
-from hibiscusstep.forwarding.environment import Surroundings
+from hibiscusstep.forwarding.environment import InstanceEnvironment
 from hibiscusstep.platform.client import (
     ObjectBeliefs,
     ObjectClient,
@@ -26,14 +26,14 @@
 from hibiscusstep.platform.settings import load_platform_settings
 from hibiscusstep.store import InstanceRecord
 
-__all__ = ["load_surroundings"]
+__all__ = ["load_environment"]
 
 READY_PATH = "/hibiscusstep/ready"
 
 
-def load_surroundings(
+def load_environment(
     path: Path, caller_socket: socket.socket | None = None
-) -> Surroundings:
+) -> InstanceEnvironment:
     """Return the dependencies of an instance by the platform's settings file.
 
     Parameters
@@ -58,7 +58,7 @@
         settings.peer_address,
         capacity=settings.capacity,
     )
-    return Surroundings(
+    return InstanceEnvironment(
         settings=settings,
         bounds=loaded.bounds,
         ready_address=loaded.ready_address,
--- a/hibiscusstep/platform/headers.py
+++ b/hibiscusstep/platform/headers.py
@@ -1,6 +1,11 @@
 """hibiscusstep.platform.headers: the platform's header fields."""
 
-from hibiscusstep.forwarding.dialect import AnswerHead, Dialect, Order, RequestHead
+from hibiscusstep.forwarding.dialect import (
+    Dialect,
+    RequestHead,
+    TargetRequestHead,
+    TargetResponseHead,
+)
 
 __all__ = ["PlatformDialect"]
 
@@ -44,7 +49,7 @@
             prompt=headers.get("X-Prompt-Prefix", ""),
         )
 
-    def order_fields(self, raw, order: Order):
+    def order_fields(self, raw, order: TargetRequestHead):
         """Return the caller's end-to-end fields and those that the system adds."""
         fields = [(k, v) for k, v in raw if k.lower() not in _DROPPED_FIELDS]
         milliseconds = max(1, int(order.timeout * 1000))
@@ -56,10 +61,10 @@
             fields.append((b"Last-Event-Id", order.last_event.encode()))
         return fields
 
-    def read_answer(self, status: int, headers) -> AnswerHead:
+    def read_answer(self, status: int, headers) -> TargetResponseHead:
         """Parse a target's fields."""
         running, waiting = _parse_int_pair(headers.get("X-Server-Load", ""), -1)
-        return AnswerHead(
+        return TargetResponseHead(
             request=headers.get("X-Request-Id", ""),
             sealed="X-Response-Seal" in headers,
             not_run="X-Not-Executed" in headers or status == _MISDIRECTED_REQUEST,
--- a/hibiscusstep/policy.py
+++ b/hibiscusstep/policy.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 
 from hibiscusstep.routing.messages import Work
-from hibiscusstep.routing.target_estimate import TargetState
+from hibiscusstep.routing.target_estimate import TargetEstimate
 
 __all__ = ["Policy", "get_policy_by_name"]
 
@@ -32,7 +32,7 @@
     fair = False
     refuses_early = False
 
-    def is_long(self, work: Work, targets: Sequence[TargetState]) -> bool:
+    def is_long(self, work: Work, targets: Sequence[TargetEstimate]) -> bool:
         """Whether the request delays others on its target; if so it queues apart."""
         return False
 
@@ -40,19 +40,19 @@
     def choose(
         self,
         work: Work,
-        targets: Sequence[TargetState],
-        usable_targets: Sequence[TargetState],
+        targets: Sequence[TargetEstimate],
+        usable_targets: Sequence[TargetEstimate],
         urgent: bool,
-    ) -> TargetState | None:
+    ) -> TargetEstimate | None:
         """Return the target for a request, or None if it should wait.
 
         Parameters
         ----------
         work : Work
             The request.
-        targets : sequence of TargetState
+        targets : sequence of TargetEstimate
             Targets with a free slot; at least one.
-        usable_targets : sequence of TargetState
+        usable_targets : sequence of TargetEstimate
             All targets that accept requests, including those without a free slot.
         urgent : bool
             Whether to ignore the limits that only protect other requests.
--- a/hibiscusstep/progress.py
+++ b/hibiscusstep/progress.py
@@ -6,22 +6,38 @@
 from hibiscusstep.explain import Explainer
 from hibiscusstep.grants import Refused
 from hibiscusstep.problem import Outcome, Problem
-from hibiscusstep.routing.messages import Reason
+from hibiscusstep.routing.messages import RefusalReason
 
 __all__ = ["Progress"]
 
 _REFUSALS = {
-    Reason.LOAD: (503, "overloaded", "The pool cannot begin it before its deadline."),
-    Reason.DEADLINE: (503, "deadline", "It could not begin before its deadline."),
-    Reason.HIGHER_TIER: (503, "displaced", "Higher tiers need the whole pool."),
-    Reason.IMPOSSIBLE: (
+    RefusalReason.LOAD: (
+        503,
+        "overloaded",
+        "The pool cannot begin it before its deadline.",
+    ),
+    RefusalReason.DEADLINE: (
+        503,
+        "deadline",
+        "It could not begin before its deadline.",
+    ),
+    RefusalReason.HIGHER_TIER: (503, "displaced", "Higher tiers need the whole pool."),
+    RefusalReason.IMPOSSIBLE: (
         422,
         "deadline-too-short",
         "Even an idle target would begin its answer after the deadline.",
     ),
-    Reason.CUSTOMER_LIMIT: (429, "customer-limit", "Too many of your requests wait."),
-    Reason.NO_TARGET: (503, "no-target", "No target of the pool takes work."),
-    Reason.UNAVAILABLE: (503, "unavailable", "Part of the system cannot be reached."),
+    RefusalReason.CUSTOMER_LIMIT: (
+        429,
+        "customer-limit",
+        "Too many of your requests wait.",
+    ),
+    RefusalReason.NO_TARGET: (503, "no-target", "No target of the pool takes work."),
+    RefusalReason.UNAVAILABLE: (
+        503,
+        "unavailable",
+        "Part of the system cannot be reached.",
+    ),
 }
 
 _KINDS = {
@@ -107,7 +123,9 @@
         status, name, detail = _REFUSALS[refused.reason]
         if self.dispatched:
             detail = f"An attempt broke off, and then: {detail}"
-        after = None if refused.reason is Reason.IMPOSSIBLE else refused.retry_after
+        after = (
+            None if refused.reason is RefusalReason.IMPOSSIBLE else refused.retry_after
+        )
         return Problem(status, name, detail, self._outcome, after)
 
     def stopped(self) -> Problem:
--- a/hibiscusstep/rollout/comparison.py
+++ b/hibiscusstep/rollout/comparison.py
@@ -20,7 +20,7 @@
 from hibiscusstep.rollout.failure_rates import FailureRates
 from hibiscusstep.rollout.sequential import TESTS, Cusum, log_ratio_of_failure
 
-__all__ = ["Answer", "VersionComparison"]
+__all__ = ["AnswerSample", "VersionComparison"]
 
 # A version is slow on all targets if the fastest of at least three of its targets takes
 # five times as long as the current version's; a single target may run on slow hardware.
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class AnswerSample:
     """How a request ended at a target.
 
     Parameters
@@ -124,7 +124,7 @@
         """Whether there are enough answers of the current version to compare with."""
         return self._rates.are_known
 
-    def observe(self, answer: Answer, *, new: bool, now: float) -> None:
+    def observe(self, answer: AnswerSample, *, new: bool, now: float) -> None:
         """Add an answer of the new version or of the current one."""
         if answer.broken and self._is_of_same_crash(answer.target, now):
             return
@@ -151,12 +151,12 @@
         """Note that all targets of the new version receive requests from now on."""
         self._times.stop_accepting_targets(now)
 
-    def take_running(self, answers: Iterable[Answer], now: float) -> None:
+    def take_running(self, answers: Iterable[AnswerSample], now: float) -> None:
         """Replace the requests that are running at the new version's targets.
 
         Parameters
         ----------
-        answers : iterable of Answer
+        answers : iterable of AnswerSample
             The running requests, cut short, with their time so far. Only those that
             are already slow count.
         now : float
@@ -170,7 +170,9 @@
             and self._times.is_slow(answer.route, relative)
         )
 
-    def _measure(self, answer: Answer, new: bool, now: float) -> RelativeTime | None:
+    def _measure(
+        self, answer: AnswerSample, new: bool, now: float
+    ) -> RelativeTime | None:
         return self._times.measure(
             answer.target,
             answer.route,
@@ -182,7 +184,7 @@
         )
 
     def _evidence_of(
-        self, answer: Answer, failed: bool, relative: RelativeTime | None
+        self, answer: AnswerSample, failed: bool, relative: RelativeTime | None
     ) -> AnswerEvidence:
         """Return the evidence of an answer of the new version."""
         route = answer.route
--- a/hibiscusstep/rollout/rollout_update.py
+++ b/hibiscusstep/rollout/rollout_update.py
@@ -5,11 +5,11 @@
 from hibiscusstep.rollout.controller import RolloutProgress
 from hibiscusstep.rollout.order import RolloutState
 
-__all__ = ["RolloutNews"]
+__all__ = ["RolloutUpdate"]
 
 
 @dataclass(frozen=True, slots=True)
-class RolloutNews:
+class RolloutUpdate:
     """Progress of an order that a dispatcher of this instance carries out.
 
     Parameters
--- a/hibiscusstep/routing/dispatch_plan.py
+++ b/hibiscusstep/routing/dispatch_plan.py
@@ -4,7 +4,7 @@
 
 from hibiscusstep.rollout.controller import PlannedRollout
 
-__all__ = ["Plan", "PlannedPool", "PlannedTarget"]
+__all__ = ["DispatchPlan", "PlannedPool", "PlannedTarget"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class DispatchPlan:
     """Pools to dispatch, by name."""
 
     pools: dict[str, PlannedPool] = field(default_factory=dict)
--- a/hibiscusstep/routing/engine_model.py
+++ b/hibiscusstep/routing/engine_model.py
@@ -11,7 +11,7 @@
 # each target.
 FIRST_TOKEN_S = 0.014
 PREFILL_TOKENS_PER_S = 48_200.0
-STEP_S = 0.0031
+ENGINE_STEP_S = 0.0031
 # Weight of the initial estimate, in answers, split between a short and a long prompt.
 # The first few answers prevail over it if the engine differs.
 PRIOR_ANSWERS = 1.0
@@ -61,7 +61,11 @@
 
     def answer_seconds(self, prompt_tokens: int, output_tokens: float) -> float:
         """Return the time of a complete answer in seconds."""
-        return self.first + self.prefill_seconds(prompt_tokens) + output_tokens * STEP_S
+        return (
+            self.first
+            + self.prefill_seconds(prompt_tokens)
+            + output_tokens * ENGINE_STEP_S
+        )
 
     def observe(self, prompt_tokens: int, seconds: float) -> None:
         """Update the estimates by a time to the first token, scaled to slowness 1."""
--- a/hibiscusstep/routing/forecast.py
+++ b/hibiscusstep/routing/forecast.py
@@ -6,7 +6,7 @@
 from hibiscusstep.routing.messages import Work
 from hibiscusstep.routing.queue import QueuedRequest, TierQueue
 from hibiscusstep.routing.shedding import Shedder
-from hibiscusstep.routing.target_estimate import TargetState
+from hibiscusstep.routing.target_estimate import TargetEstimate
 
 __all__ = ["MIN_RETRY_AFTER_S", "Forecast"]
 
@@ -25,7 +25,7 @@
         The ranks of tiers and the weights of customers.
     queues : dict of str to TierQueue
         Waiting requests by tier, the highest tier first.
-    targets : dict of str to TargetState
+    targets : dict of str to TargetEstimate
         Targets by name, with their running requests.
     shedder : Shedder
         Decides which running requests may be stopped.
@@ -35,7 +35,7 @@
         self,
         configuration: Configuration,
         queues: dict[str, TierQueue],
-        targets: dict[str, TargetState],
+        targets: dict[str, TargetEstimate],
         shedder: Shedder,
     ) -> None:
         self._tiers = configuration.tiers
@@ -46,7 +46,10 @@
         self._free_slot_cache: dict[int, tuple[float, float]] = {}
 
     def expected_wait(
-        self, queued: QueuedRequest, usable_targets: Sequence[TargetState], now: float
+        self,
+        queued: QueuedRequest,
+        usable_targets: Sequence[TargetEstimate],
+        now: float,
     ) -> float:
         """Return the expected seconds until a waiting request is granted."""
         slots = sum(target.max_running for target in usable_targets)
@@ -60,7 +63,7 @@
         )
 
     def retry_after(
-        self, work: Work, usable_targets: Sequence[TargetState], now: float
+        self, work: Work, usable_targets: Sequence[TargetEstimate], now: float
     ) -> float:
         """Return the seconds until running work and waiting work of the rank ends."""
         slots = sum(target.max_running for target in usable_targets)
@@ -90,7 +93,7 @@
         return total
 
     def _seconds_to_free_slot(
-        self, rank: int, usable_targets: Sequence[TargetState], now: float
+        self, rank: int, usable_targets: Sequence[TargetEstimate], now: float
     ) -> float:
         """Return the seconds until a slot is free for a request of the rank."""
         if any(target.free > 0 for target in usable_targets):
--- a/hibiscusstep/routing/grant_monitor.py
+++ b/hibiscusstep/routing/grant_monitor.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from hibiscusstep.routing.messages import Lost
+from hibiscusstep.routing.messages import GrantLost
 
 __all__ = ["CheckResult", "GrantMonitor", "LostRequests"]
 
@@ -138,9 +138,9 @@
     """Requests considered lost recently, in case their instance still holds them."""
 
     def __init__(self) -> None:
-        self._lost: OrderedDict[str, tuple[float, Lost]] = OrderedDict()
+        self._lost: OrderedDict[str, tuple[float, GrantLost]] = OrderedDict()
 
-    def add(self, lost: Lost, now: float) -> None:
+    def add(self, lost: GrantLost, now: float) -> None:
         """Add a request that is considered lost, and remove expired entries."""
         self._lost[lost.work.ask] = now, lost
         while next(iter(self._lost.values()))[0] < now - LOST_RETENTION_S:
@@ -150,6 +150,6 @@
         """Remove a request that has ended."""
         self._lost.pop(ask, None)
 
-    def take(self, asks: Iterable[str]) -> list[Lost]:
+    def take(self, asks: Iterable[str]) -> list[GrantLost]:
         """Remove and return those of the given asks that were considered lost."""
         return [self._lost.pop(ask)[1] for ask in asks if ask in self._lost]
--- a/hibiscusstep/routing/messages.py
+++ b/hibiscusstep/routing/messages.py
@@ -6,33 +6,33 @@
 from hibiscusstep.rollout.order import RolloutState
 
 __all__ = [
-    "Adopt",
-    "Ask",
-    "Conclude",
+    "AdoptRunning",
+    "ConcludeRollout",
     "Configure",
-    "Doubt",
     "Decision",
     "Finished",
     "FirstToken",
     "Grant",
-    "Held",
-    "Inquire",
-    "Learnt",
+    "GrantLost",
+    "GrantOutcome",
+    "HeldGrants",
     "InstanceGone",
+    "LearnedEstimates",
     "LoadReport",
-    "Lost",
-    "Outcome",
-    "Reason",
+    "QueryGrants",
     "Recovered",
+    "RefusalReason",
     "Refuse",
+    "RequestGrant",
     "Stop",
+    "SuspectPartition",
     "Tick",
     "Withdraw",
     "Work",
 ]
 
 
-class Outcome(enum.StrEnum):
+class GrantOutcome(enum.StrEnum):
     """How a granted request ended at its target.
 
     `FAILED`: the target answered with an error. `REJECTED`: the target answered that
@@ -49,7 +49,7 @@
     LEAVING = "leaving"
 
 
-class Reason(enum.StrEnum):
+class RefusalReason(enum.StrEnum):
     """Why a request was refused or stopped."""
 
     LOAD = "load"
@@ -126,7 +126,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class RequestGrant:
     """A request asks for a target."""
 
     work: Work
@@ -155,7 +155,7 @@
     ----------
     ask : str
         Id of the grant.
-    outcome : Outcome
+    outcome : GrantOutcome
         How the request ended.
     tokens : int
         Number of tokens of the answer.
@@ -169,7 +169,7 @@
     """
 
     ask: str
-    outcome: Outcome
+    outcome: GrantOutcome
     tokens: int = 0
     decode_seconds: float = 0.0
     computed: int = -1
@@ -177,7 +177,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class HeldGrants:
     """All grants that an instance holds; others counted for it are lost."""
 
     instance: str
@@ -185,7 +185,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Learnt:
+class LearnedEstimates:
     """Estimates of another dispatcher of the pool, or of one before a full restart.
 
     Parameters
@@ -221,7 +221,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Adopt:
+class AdoptRunning:
     """A running request, reported by its instance after a change of dispatcher."""
 
     work: Work
@@ -234,7 +234,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Doubt:
+class SuspectPartition:
     """Whether another dispatcher may be active on the far side of a partition.
 
     While this is so nothing is refused for load, because the load on the other side is
@@ -290,7 +290,7 @@
     """A request is not run; the caller may retry after `retry_after` seconds."""
 
     work: Work
-    reason: Reason
+    reason: RefusalReason
     retry_after: float
 
 
@@ -303,14 +303,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Inquire:
+class QueryGrants:
     """An instance must report its grants, because some should have ended."""
 
     instance: str
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class GrantLost:
     """A grant is released because its instance did not confirm it."""
 
     work: Work
@@ -318,7 +318,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Conclude:
+class ConcludeRollout:
     """The rollout of a version to the pool has ended.
 
     Parameters
@@ -339,4 +339,4 @@
     reason: str
 
 
-Decision = Grant | Refuse | Stop | Inquire | Lost | Conclude
+Decision = Grant | Refuse | Stop | QueryGrants | GrantLost | ConcludeRollout
--- a/hibiscusstep/routing/policy_dispatcher.py
+++ b/hibiscusstep/routing/policy_dispatcher.py
@@ -11,9 +11,9 @@
 from hibiscusstep.routing.pool_dispatcher import PoolDispatcher
 from hibiscusstep.routing.queue import QueuedRequest, TierQueue
 from hibiscusstep.routing.shedding import Shedder
-from hibiscusstep.routing.target_estimate import TargetState
+from hibiscusstep.routing.target_estimate import TargetEstimate
 
-__all__ = ["Dispatcher"]
+__all__ = ["PolicyDispatcher"]
 
 MIN_COST_S = 0.001
 EARLY_REFUSAL_FACTOR = 1.0
@@ -21,7 +21,7 @@
 _DEFAULT_CUSTOMER = Customer(key_hashes=["0" * 64], tier="any")
 
 
-class Dispatcher(PoolDispatcher):
+class PolicyDispatcher(PoolDispatcher):
     """A dispatcher with tiers, fair sharing and a configurable placement policy.
 
     Parameters
@@ -92,7 +92,7 @@
         raise TypeError(f"unknown dispatcher message: {message!r}")
 
     @_take.register
-    def _ask(self, message: m.Ask, now: float) -> None:
+    def _ask(self, message: m.RequestGrant, now: float) -> None:
         work = message.work
         if work.ask in self._tier_by_ask:
             return
@@ -101,7 +101,7 @@
             return
         self.counts.asked += 1
         if self._exceeds_max_waiting(work):
-            self._refuse_work(work, m.Reason.CUSTOMER_LIMIT, now)
+            self._refuse_work(work, m.RefusalReason.CUSTOMER_LIMIT, now)
             return
         self._tier_by_ask[work.ask] = work.tier
         queued = self._make_queued(work)
@@ -124,15 +124,15 @@
         target = self._release(message.ask)
         if target is None:
             return
-        if message.outcome in (m.Outcome.DONE, m.Outcome.FAILED):
+        if message.outcome in (m.GrantOutcome.DONE, m.GrantOutcome.FAILED):
             target.done(
                 message.ask, message.tokens, message.decode_seconds, message.computed
             )
-        elif message.outcome in (m.Outcome.UNREACHABLE, m.Outcome.BROKEN):
+        elif message.outcome in (m.GrantOutcome.UNREACHABLE, m.GrantOutcome.BROKEN):
             target.failed(message.ask, now)
         else:
             target.discard(message.ask)
-            target.leaving |= message.outcome is m.Outcome.LEAVING
+            target.leaving |= message.outcome is m.GrantOutcome.LEAVING
 
     @_take.register
     def _load_report(self, message: m.LoadReport, now: float) -> None:
@@ -143,7 +143,7 @@
             target.reachable = message.reachable
 
     @_take.register
-    def _adopt(self, message: m.Adopt, now: float) -> None:
+    def _adopt(self, message: m.AdoptRunning, now: float) -> None:
         work = message.work
         target = self._targets.get(message.target)
         self._drop(work.ask)
@@ -158,7 +158,7 @@
         self._recovered = True
 
     @_take.register
-    def _suspect_partition(self, message: m.Doubt, now: float) -> None:
+    def _suspect_partition(self, message: m.SuspectPartition, now: float) -> None:
         self._partition_suspected = message.doubtful
 
     @_take.register
@@ -220,7 +220,7 @@
         for name, target in pool.targets.items():
             state = self._targets.get(name)
             if state is None:
-                state = TargetState(
+                state = TargetEstimate(
                     name, target.max_running, target.prefill_rate, target.decode_rate
                 )
                 self._targets[name] = state
@@ -258,7 +258,7 @@
         latest = work.deadline - median(prefill or [0.0])
         return QueuedRequest(work, cost, latest, self._policy.is_long(work, targets))
 
-    def _usable_targets(self, now: float) -> list[TargetState]:
+    def _usable_targets(self, now: float) -> list[TargetEstimate]:
         return [target for target in self._targets.values() if target.usable(now)]
 
     def _schedule(self, now: float) -> None:
@@ -342,23 +342,25 @@
     def _check_on_arrival(self, queued: QueuedRequest, now: float) -> None:
         """Refuse a new request at once if it cannot meet its deadline."""
         if queued.latest_start <= queued.work.received:
-            self._refuse_waiting(queued, m.Reason.IMPOSSIBLE, now)
+            self._refuse_waiting(queued, m.RefusalReason.IMPOSSIBLE, now)
         elif all(t.drained or t.leaving for t in self._targets.values()):
-            self._refuse_waiting(queued, m.Reason.NO_TARGET, now)
+            self._refuse_waiting(queued, m.RefusalReason.NO_TARGET, now)
         elif self._policy.refuses_early and not self._partition_suspected:
             slack = (queued.latest_start - now) * EARLY_REFUSAL_FACTOR
             if (
                 self._forecast.expected_wait(queued, self._usable_targets(now), now)
                 > slack
             ):
-                self._refuse_after_lower_tiers(queued, now, m.Reason.LOAD)
+                self._refuse_after_lower_tiers(queued, now, m.RefusalReason.LOAD)
 
     def _shed(self, now: float) -> None:
         for queue in self._queues.values():
             if self._policy.tiered and self._tier_guard:
                 self._stop_for_urgent(queue, now)
             for queued in queue.overdue(now):
-                if not self._refuse_after_lower_tiers(queued, now, m.Reason.DEADLINE):
+                if not self._refuse_after_lower_tiers(
+                    queued, now, m.RefusalReason.DEADLINE
+                ):
                     break
         self._enforce_max_waiting(now)
 
@@ -375,28 +377,28 @@
         for target, run in self._shedder.victims(rank, now)[: max(0, to_stop)]:
             self._stop(target, run)
 
-    def _stop(self, target: TargetState, run) -> None:
+    def _stop(self, target: TargetEstimate, run) -> None:
         run.stopping = True
         self.counts.stopped += 1
         self._decisions.append(m.Stop(run.work, target.name))
 
     def _refuse_after_lower_tiers(
-        self, queued: QueuedRequest, now: float, reason: m.Reason
+        self, queued: QueuedRequest, now: float, reason: m.RefusalReason
     ) -> bool:
         """Refuse a request unless lower tiers must yield first; return if refused."""
         if not self._configuration.rule(queued.work.tier).may_be_shed:
             return False
         if not self._usable_targets(now) or self._partition_suspected:
             no_capacity_reason = (
-                m.Reason.UNAVAILABLE
+                m.RefusalReason.UNAVAILABLE
                 if self._partition_suspected
-                else m.Reason.NO_TARGET
+                else m.RefusalReason.NO_TARGET
             )
             self._refuse_waiting(queued, no_capacity_reason, now)
             return True
         if self._policy.tiered and self._tier_guard:
             for lower in self._shedder.waiting_below(queued.work.rank):
-                self._refuse_waiting(lower, m.Reason.HIGHER_TIER, now)
+                self._refuse_waiting(lower, m.RefusalReason.HIGHER_TIER, now)
             for target, run in self._shedder.victims(queued.work.rank, now):
                 self._stop(target, run)
             if self._shedder.stopping(queued.work.rank):
@@ -417,19 +419,21 @@
             for queued in list(queue)[::-1]:
                 if excess <= 0:
                     return
-                if not self._refuse_after_lower_tiers(queued, now, m.Reason.LOAD):
+                if not self._refuse_after_lower_tiers(
+                    queued, now, m.RefusalReason.LOAD
+                ):
                     return
                 excess -= 1
 
     def _refuse_waiting(
-        self, queued: QueuedRequest, reason: m.Reason, now: float
+        self, queued: QueuedRequest, reason: m.RefusalReason, now: float
     ) -> None:
         queue = self._queues[queued.work.tier]
         if queue.remove(queued.work.ask):
             self._tier_by_ask.pop(queued.work.ask, None)
             self._refuse_work(queued.work, reason, now)
 
-    def _refuse_work(self, work: m.Work, reason: m.Reason, now: float) -> None:
+    def _refuse_work(self, work: m.Work, reason: m.RefusalReason, now: float) -> None:
         self.counts.refused += 1
         after = self._forecast.retry_after(work, self._usable_targets(now), now)
         self._decisions.append(m.Refuse(work, reason, after))
@@ -441,7 +445,7 @@
     def _refuse_unknown_tier(self, work: m.Work) -> None:
         """Refuse a request whose tier was removed or is not yet configured here."""
         self.counts.refused += 1
-        refusal = m.Refuse(work, m.Reason.UNAVAILABLE, MIN_RETRY_AFTER_S)
+        refusal = m.Refuse(work, m.RefusalReason.UNAVAILABLE, MIN_RETRY_AFTER_S)
         self._decisions.append(refusal)
 
     def _drop(self, ask: str) -> None:
@@ -452,7 +456,7 @@
         if target:
             target.discard(ask)
 
-    def _release(self, ask: str) -> TargetState | None:
+    def _release(self, ask: str) -> TargetEstimate | None:
         target = self._targets.get(self._placed.pop(ask, ""))
         if target and ask in target.running:
             self._running_by_customer[target.running[ask].work.customer] -= 1
--- a/hibiscusstep/routing/pool_dispatcher.py
+++ b/hibiscusstep/routing/pool_dispatcher.py
@@ -77,7 +77,7 @@
         """Number of waiting requests by tier."""
 
     @property
-    def learnt(self) -> m.Learnt | None:
+    def learnt(self) -> m.LearnedEstimates | None:
         """Learned estimates for the next dispatcher; None if there are none."""
         return None
 
--- a/hibiscusstep/routing/shedding.py
+++ b/hibiscusstep/routing/shedding.py
@@ -4,7 +4,7 @@
 
 from hibiscusstep.configuration.models import Configuration
 from hibiscusstep.routing.queue import QueuedRequest, TierQueue
-from hibiscusstep.routing.target_estimate import RunningRequest, TargetState
+from hibiscusstep.routing.target_estimate import RunningRequest, TargetEstimate
 
 __all__ = ["Shedder"]
 
@@ -18,7 +18,7 @@
         The operators' shedding rules.
     queues : dict of str to TierQueue
         Waiting requests by tier, the highest tier first.
-    targets : dict of str to TargetState
+    targets : dict of str to TargetEstimate
         Targets by name, with their running requests.
     """
 
@@ -26,7 +26,7 @@
         self,
         configuration: Configuration,
         queues: dict[str, TierQueue],
-        targets: dict[str, TargetState],
+        targets: dict[str, TargetEstimate],
     ) -> None:
         self._configuration = configuration
         self._queues = queues
@@ -44,7 +44,7 @@
 
     def victims(
         self, rank: int, now: float
-    ) -> list[tuple[TargetState, RunningRequest]]:
+    ) -> list[tuple[TargetEstimate, RunningRequest]]:
         """Return the running requests that may be stopped for a rank.
 
         The lowest tier comes first, and within it the request with the least work done.
--- a/hibiscusstep/routing/slot_dispatcher.py
+++ b/hibiscusstep/routing/slot_dispatcher.py
@@ -9,14 +9,14 @@
 
 from hibiscusstep.rollout.controller import Rollout
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool
+from hibiscusstep.routing.dispatch_plan import DispatchPlan, PlannedPool
 from hibiscusstep.routing.grant_monitor import GrantMonitor, LostRequests
 from hibiscusstep.routing.pool_dispatcher import PoolDispatcher
 from hibiscusstep.routing.rank_floor import RankFloor
 from hibiscusstep.routing.slot_queue import RefusedRequests, SlotQueue
 from hibiscusstep.routing.slot_target import Run, SlotTarget
 from hibiscusstep.routing.suspect_isolation import exclude_suspect_targets
-from hibiscusstep.routing.switches import ALL_ON, Switches
+from hibiscusstep.routing.switches import ALL_ENABLED, Switches
 from hibiscusstep.routing.target_selector import TargetSelector
 from hibiscusstep.routing.target_subset import TargetSubset
 from hibiscusstep.routing.version_partition import VersionPartition
@@ -39,12 +39,12 @@
 
 
 # Messages that may lengthen the wait of queued requests or let their deadlines pass.
-_EXPIRY_TRIGGERS = (m.Ask, m.Tick, m.Recovered, m.Configure)
+_EXPIRY_TRIGGERS = (m.RequestGrant, m.Tick, m.Recovered, m.Configure)
 # Messages after which a target may become available for a queued request. Changes that
 # depend only on time are handled with each tick.
 _GRANT_TRIGGERS = (
     m.Finished,
-    m.Held,
+    m.HeldGrants,
     m.InstanceGone,
     m.Tick,
     m.Recovered,
@@ -67,7 +67,7 @@
     ----------
     pool_name : str
         The pool.
-    plan : Plan
+    plan : DispatchPlan
         The targets of the pool.
     alone : str
         Name of the instance if the dispatcher serves only this one; empty if it serves
@@ -79,9 +79,9 @@
     def __init__(
         self,
         pool_name: str,
-        plan: Plan,
+        plan: DispatchPlan,
         alone: str = "",
-        switches: Switches = ALL_ON,
+        switches: Switches = ALL_ENABLED,
         **_options,
     ) -> None:
         super().__init__(pool_name)
@@ -105,19 +105,19 @@
         self._partition = VersionPartition(self._selector, bool(alone))
         # A dict lookup: a dispatching decorator costs 7 us per message.
         self._handlers = {
-            m.Ask: self._enqueue,
+            m.RequestGrant: self._enqueue,
             m.Withdraw: self._withdraw,
             m.FirstToken: self._first_token,
             m.Finished: self._finished,
-            m.Held: self._reconcile_held,
-            m.Learnt: self._import_estimates,
+            m.HeldGrants: self._reconcile_held,
+            m.LearnedEstimates: self._import_estimates,
             m.LoadReport: self._load_report,
-            m.Adopt: self._adopt,
+            m.AdoptRunning: self._adopt,
             m.Recovered: self._recover,
             m.InstanceGone: self._instance_gone,
             m.Configure: self._reconfigure,
             m.Tick: self._tick,
-            m.Doubt: self._ignore,
+            m.SuspectPartition: self._ignore,
         }
         self._configure(plan, 0.0)
 
@@ -127,7 +127,7 @@
         return self._queue.count_by_tier
 
     @property
-    def learnt(self) -> m.Learnt | None:
+    def learnt(self) -> m.LearnedEstimates | None:
         """Slowness of the targets and engine estimates; None before any observation."""
         slowness = {name: t.slowness for name, t in self._targets.items() if t.learnt}
         if not slowness:
@@ -170,7 +170,7 @@
         }
 
     def _decide(self, message, now: float) -> None:
-        if isinstance(message, m.Ask):
+        if isinstance(message, m.RequestGrant):
             self._schedule_new(message.work.ask, now)
         elif isinstance(message, _GRANT_TRIGGERS):
             self._schedule(now)
@@ -184,7 +184,7 @@
             raise TypeError(f"unknown dispatcher message: {message!r}")
         handler(message, now)
 
-    def _enqueue(self, message: m.Ask, now: float) -> None:
+    def _enqueue(self, message: m.RequestGrant, now: float) -> None:
         work = message.work
         if work.ask in self._queue:
             return
@@ -223,21 +223,21 @@
             return
         self._partition.record_end(target, run, message, now)
         match message.outcome:
-            case m.Outcome.DONE:
+            case m.GrantOutcome.DONE:
                 self._selector.record_answer(target, run, message, now)
-            case m.Outcome.FAILED | m.Outcome.BROKEN:
+            case m.GrantOutcome.FAILED | m.GrantOutcome.BROKEN:
                 target.record_failure(now)
-            case m.Outcome.UNREACHABLE:
+            case m.GrantOutcome.UNREACHABLE:
                 target.record_unreachable(now)
-            case m.Outcome.REJECTED:
+            case m.GrantOutcome.REJECTED:
                 target.record_rejection(now)
-            case m.Outcome.LEAVING:
+            case m.GrantOutcome.LEAVING:
                 target.leaving = True
-        if message.outcome is not m.Outcome.DONE:
+        if message.outcome is not m.GrantOutcome.DONE:
             self._subset_updated_at = -math.inf
         self._partition.update(target, now)
 
-    def _reconcile_held(self, message: m.Held, now: float) -> None:
+    def _reconcile_held(self, message: m.HeldGrants, now: float) -> None:
         self._grant_monitor.confirm_held(message.asks, now)
         for lost in self._lost_requests.take(message.asks):
             if lost.target in self._targets:
@@ -249,7 +249,7 @@
             if run.granted < now - MAX_GRANT_TRANSIT_S:
                 self._remove_request(ask, now)
 
-    def _import_estimates(self, message: m.Learnt, now: float) -> None:
+    def _import_estimates(self, message: m.LearnedEstimates, now: float) -> None:
         if not message.old:
             self._imported_slowness = {}
         elif self.learnt:
@@ -274,7 +274,7 @@
             target.foreign = max(0, message.running + message.waiting - known)
             target.foreign_at = now
 
-    def _adopt(self, message: m.Adopt, now: float) -> None:
+    def _adopt(self, message: m.AdoptRunning, now: float) -> None:
         self._remove_request(message.work.ask, now)
         target = self._targets.get(message.target)
         if target:
@@ -299,19 +299,19 @@
         if not self._switches.ask_overdue:
             return
         result = self._grant_monitor.check(now)
-        self._decisions += [m.Inquire(name) for name in sorted(result.instances)]
+        self._decisions += [m.QueryGrants(name) for name in sorted(result.instances)]
         for ask in result.lost:
             target = self._targets[self._placed[ask]]
-            lost = m.Lost(target.running[ask].work, target.name)
+            lost = m.GrantLost(target.running[ask].work, target.name)
             self._remove_request(ask, now)
             self.counts.lost += 1
             self._lost_requests.add(lost, now)
             self._decisions.append(lost)
 
-    def _ignore(self, message: m.Doubt, now: float) -> None:
+    def _ignore(self, message: m.SuspectPartition, now: float) -> None:
         """Ignore the message; refusals do not depend on other dispatchers."""
 
-    def _configure(self, plan: Plan, now: float) -> None:
+    def _configure(self, plan: DispatchPlan, now: float) -> None:
         pool = plan.pools.get(self._pool_name, PlannedPool(True))
         self._selector.configure(pool)
         self._partition.configure(pool)
@@ -474,7 +474,7 @@
         self._queue.remove(work.ask)
         self._refused_requests.record(work)
         self.counts.refused += 1
-        self._decisions.append(m.Refuse(work, m.Reason.LOAD, retry_after(wait)))
+        self._decisions.append(m.Refuse(work, m.RefusalReason.LOAD, retry_after(wait)))
 
     def _remove_request(self, ask: str, now: float) -> None:
         self._queue.remove(ask)
--- a/hibiscusstep/routing/switches.py
+++ b/hibiscusstep/routing/switches.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, fields
 
-__all__ = ["ALL_ON", "Switches"]
+__all__ = ["ALL_ENABLED", "Switches"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,4 +66,4 @@
         return cls(**dict.fromkeys(off, False))
 
 
-ALL_ON = Switches()
+ALL_ENABLED = Switches()
--- a/hibiscusstep/routing/target_estimate.py
+++ b/hibiscusstep/routing/target_estimate.py
@@ -5,7 +5,7 @@
 
 from hibiscusstep.routing.messages import Work
 
-__all__ = ["RunningRequest", "TargetState"]
+__all__ = ["RunningRequest", "TargetEstimate"]
 
 LEARNING_RATE = 0.3
 LONG_PREFILL_S = 0.25
@@ -69,7 +69,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class TargetState:
+class TargetEstimate:
     """State and estimates of one target.
 
     Parameters
--- a/hibiscusstep/routing/target_selector.py
+++ b/hibiscusstep/routing/target_selector.py
@@ -5,7 +5,7 @@
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.dispatch_plan import PlannedPool
 from hibiscusstep.routing.engine_model import (
-    STEP_S,
+    ENGINE_STEP_S,
     UNKNOWN_CHUNK_S,
     AnswerLengths,
     EngineModel,
@@ -19,7 +19,7 @@
 
 # Initial estimate for a request of a plain service. The slowness of each target is
 # learned relative to it.
-PLAIN_SERVICE_S = 0.05
+PLAIN_REQUEST_S = 0.05
 # Streams with fewer events say too little about the speed of a target.
 MIN_EVENTS = 6
 # Maximum number of targets whose costs are logged with a grant.
@@ -78,13 +78,13 @@
         self._tokens_per_event = pool.tokens_per_event
         self._max_pause = pool.max_pause
 
-    def estimates(self, slowness: dict[str, float]) -> m.Learnt:
+    def estimates(self, slowness: dict[str, float]) -> m.LearnedEstimates:
         """Return the estimates for the pool, with the slowness of its targets."""
         share = self._prefill_chunk.most
         known = share if share != UNKNOWN_CHUNK_S else 0.0
-        return m.Learnt(slowness, self._model.first, self._model.token, known)
+        return m.LearnedEstimates(slowness, self._model.first, self._model.token, known)
 
-    def import_estimates(self, imported: m.Learnt) -> None:
+    def import_estimates(self, imported: m.LearnedEstimates) -> None:
         """Use another dispatcher's estimates where there are no observations."""
         if imported.token and not self._model.learnt:
             self._model.reset(imported.first, imported.token)
@@ -109,13 +109,13 @@
     def service_seconds(self, work: m.Work) -> float:
         """Return the estimated service time of a request at slowness 1, in seconds."""
         if not self._is_engine:
-            return PLAIN_SERVICE_S
+            return PLAIN_REQUEST_S
         return self._model.answer_seconds(work.prompt_tokens, work.output_tokens)
 
     def first_token_seconds(self, work: m.Work) -> float:
         """Return the estimated time to the first token at slowness 1, in seconds."""
         if not self._is_engine:
-            return PLAIN_SERVICE_S
+            return PLAIN_REQUEST_S
         return self._model.first + self._model.prefill_seconds(work.prompt_tokens)
 
     def serve_time_bound(self, work: m.Work) -> float:
@@ -127,7 +127,7 @@
             return (
                 FIRST_TOKEN_MARGIN * self.min_slowness * self.first_token_seconds(work)
             )
-        return self.mean_slowness * PLAIN_SERVICE_S * self._service_times.upper_ratio
+        return self.mean_slowness * PLAIN_REQUEST_S * self._service_times.upper_ratio
 
     def duration_bound(self, target: SlotTarget, work: m.Work, now: float) -> float:
         """Return the seconds in which four of five such requests end at a target."""
@@ -136,16 +136,18 @@
             slowness = max(slowness, UNKNOWN_SLOWNESS)
         seconds = self.first_token_seconds(work) + target.remaining_prefill(now)
         if self._is_engine:
-            seconds += self._answer_lengths.upper_bound(work.output_tokens) * STEP_S
+            seconds += (
+                self._answer_lengths.upper_bound(work.output_tokens) * ENGINE_STEP_S
+            )
         return max(MIN_OVERDUE_S, slowness * seconds)
 
     def time_ratio(self, run: Run, tokens: int, now: float) -> float:
         """Return the ratio of a request's duration to the estimate at slowness 1."""
         if not self._is_engine:
-            return (now - run.granted) / PLAIN_SERVICE_S
+            return (now - run.granted) / PLAIN_REQUEST_S
         steps = tokens * self._tokens_per_event
-        expected = run.expected_first + steps * STEP_S if steps else run.cost
-        return (now - run.granted) / max(STEP_S, expected)
+        expected = run.expected_first + steps * ENGINE_STEP_S if steps else run.cost
+        return (now - run.granted) / max(ENGINE_STEP_S, expected)
 
     def running_time_ratio(self, run: Run, now: float) -> float:
         """Return the same ratio for a running request.
@@ -154,10 +156,10 @@
         the estimate uses a length that four of five answers do not exceed.
         """
         if not self._is_engine:
-            return (now - run.granted) / PLAIN_SERVICE_S
+            return (now - run.granted) / PLAIN_REQUEST_S
         tokens = self._answer_lengths.upper_bound(run.work.output_tokens)
-        expected = run.expected_first + tokens * STEP_S
-        return (now - run.granted) / max(STEP_S, expected)
+        expected = run.expected_first + tokens * ENGINE_STEP_S
+        return (now - run.granted) / max(ENGINE_STEP_S, expected)
 
     def record_answer(
         self, target: SlotTarget, run: Run, finished: m.Finished, now: float
@@ -172,10 +174,10 @@
             # The rate of events measures the speed of the target. The rest of the
             # answer's time depends more on the target's other requests.
             steps = (finished.tokens - 1) * self._tokens_per_event
-            target.observe(finished.decode_seconds / (steps * STEP_S))
+            target.observe(finished.decode_seconds / (steps * ENGINE_STEP_S))
             if finished.longest_pause and self._switches.reading_share:
                 pause = finished.longest_pause / target.slowness
-                steps = self._tokens_per_event * STEP_S
+                steps = self._tokens_per_event * ENGINE_STEP_S
                 self._prefill_chunk.observe(pause - steps, run.beside)
         if self._is_engine and finished.tokens:
             tokens = finished.tokens * self._tokens_per_event
@@ -238,8 +240,13 @@
         ends, decoding = math.inf, 0.0
         if work.ends and self._switches.answer_end:
             ends = work.ends
-            decoding = self._answer_lengths.upper_bound(work.output_tokens) * STEP_S
-        steps, max_prefill = (self._tokens_per_event * STEP_S, self._prefill_chunk.most)
+            decoding = (
+                self._answer_lengths.upper_bound(work.output_tokens) * ENGINE_STEP_S
+            )
+        steps, max_prefill = (
+            self._tokens_per_event * ENGINE_STEP_S,
+            self._prefill_chunk.most,
+        )
         pause_limit = MAX_PAUSE_SHARE * self._max_pause
         for target in targets:
             slowness, pending = target.slowness, target.remaining_prefill(now)
@@ -258,7 +265,7 @@
 
     def _pause_seconds(self, prefill_seconds: float) -> float:
         """Return the estimated seconds between events at slowness 1 during prefill."""
-        steps = self._tokens_per_event * STEP_S
+        steps = self._tokens_per_event * ENGINE_STEP_S
         return steps + self._prefill_chunk.between_events(prefill_seconds)
 
     def _price(self, target: SlotTarget, work: m.Work, own: float, now: float) -> float:
--- a/hibiscusstep/routing/version_partition.py
+++ b/hibiscusstep/routing/version_partition.py
@@ -2,7 +2,7 @@
 
 import enum
 
-from hibiscusstep.rollout.comparison import Answer
+from hibiscusstep.rollout.comparison import AnswerSample
 from hibiscusstep.rollout.controller import Rollout
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.dispatch_plan import PlannedPool
@@ -22,10 +22,10 @@
 # Outcomes that count in the comparison of versions; others do not depend on the
 # version.
 _COMPARED_OUTCOMES = (
-    m.Outcome.DONE,
-    m.Outcome.FAILED,
-    m.Outcome.BROKEN,
-    m.Outcome.CANCELLED,
+    m.GrantOutcome.DONE,
+    m.GrantOutcome.FAILED,
+    m.GrantOutcome.BROKEN,
+    m.GrantOutcome.CANCELLED,
 )
 
 
@@ -171,13 +171,13 @@
             return
         if run.work.suspect or run.adopted:
             return
-        answer = Answer(
+        answer = AnswerSample(
             target.name,
             run.work.route,
-            outcome is m.Outcome.FAILED,
-            outcome is m.Outcome.BROKEN,
+            outcome is m.GrantOutcome.FAILED,
+            outcome is m.GrantOutcome.BROKEN,
             self._selector.time_ratio(run, finished.tokens, now),
-            outcome is m.Outcome.CANCELLED,
+            outcome is m.GrantOutcome.CANCELLED,
             run.loaded,
         )
         new = self._roles.get(target.name) is _Role.CANARY
@@ -189,7 +189,7 @@
             for run in targets[name].running.values():
                 if not (run.work.suspect or run.adopted):
                     ratio = self._selector.running_time_ratio(run, now)
-                    yield Answer(
+                    yield AnswerSample(
                         name,
                         run.work.route,
                         failed=False,
@@ -198,7 +198,9 @@
                         loaded=run.loaded,
                     )
 
-    def tick(self, targets: dict[str, SlotTarget], now: float) -> m.Conclude | None:
+    def tick(
+        self, targets: dict[str, SlotTarget], now: float
+    ) -> m.ConcludeRollout | None:
         """Advance the rollout; return its conclusion once there is one."""
         if self.rollout is None:
             return None
@@ -210,6 +212,6 @@
             return None
         self._reported = True
         planned = self.rollout.planned
-        return m.Conclude(
+        return m.ConcludeRollout(
             planned.version, planned.number, self.rollout.verdict, self.rollout.reason
         )
--- a/tests/quota_region.py
+++ b/tests/quota_region.py
@@ -11,8 +11,8 @@
 from hibiscusstep.errors import PlatformUnavailable
 from hibiscusstep.forwarding.bounds import Bounds
 from hibiscusstep.forwarding.model import CustomerRule, Quota
-from hibiscusstep.forwarding.quota import CustomersChanged, QuotaKeeper
-from hibiscusstep.forwarding.saved_usage import KeptUseWorker
+from hibiscusstep.forwarding.quota import CustomersChanged, QuotaLimiter
+from hibiscusstep.forwarding.saved_usage import SavedUsageWorker
 from hibiscusstep.mailbox import Tick
 from hibiscusstep.membership.view import Member, View
 from hibiscusstep.membership.worker import ViewChanged
@@ -66,9 +66,9 @@
 @dataclass
 class Instance:
     incarnation: str
-    keeper: QuotaKeeper
+    keeper: QuotaLimiter
     links: _FakeLinks
-    worker: KeptUseWorker
+    worker: SavedUsageWorker
     started: float
     next_tick: float
     told: tuple = ()
@@ -142,11 +142,11 @@
     def start(self, number):
         links = _FakeLinks()
         results = []
-        worker = KeptUseWorker(self.store, self.WINDOW_S, results.append)
+        worker = SavedUsageWorker(self.store, self.WINDOW_S, results.append)
         worker.calls, worker.results = [], results
         worker.tell = worker.calls.append
         incarnation = f"inc{number}.{next(self._serial)}"
-        keeper = QuotaKeeper(
+        keeper = QuotaLimiter(
             incarnation,
             f"a{number}",
             links,
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -10,7 +10,7 @@
 from platform_standin import StoreStandIn, configuration
 
 from hibiscusstep.forwarding import catalog as module
-from hibiscusstep.forwarding.catalog import Catalog, TableNews, TargetNews
+from hibiscusstep.forwarding.catalog import Catalog, TableUpdate, TargetUpdate
 from hibiscusstep.forwarding.model import DiscoveredTarget
 from hibiscusstep.platform.client import (
     ObjectBeliefs,
@@ -18,7 +18,11 @@
     ObjectFeed,
     ObjectRoster,
 )
-from hibiscusstep.platform.documents import decode_table, decode_target, table_of
+from hibiscusstep.platform.documents import (
+    decode_table,
+    decode_table_spec,
+    decode_target,
+)
 from hibiscusstep.store import Change, InstanceRecord
 
 BOUND_S = 10
@@ -93,7 +97,7 @@
             self._on_targets,
             self.ended.append,
         )
-        self.catalog.tell(module.Follow(True))
+        self.catalog.tell(module.SetFollowing(True))
 
     def _on_table(self, table):
         self.tables.append(table.version)
@@ -115,7 +119,7 @@
 async def watched(monkeypatch):
     monkeypatch.setattr(module, "RETRY_S", 0.02)
     monkeypatch.setattr(module, "WATCH_S", 0.3)
-    monkeypatch.setattr(module, "LAPSE_GRACE_S", 0.6)
+    monkeypatch.setattr(module, "EXPIRY_GRACE_S", 0.6)
     store = StoreStandIn()
     await store.start()
     store.put("config", "main", configuration(3))
@@ -148,7 +152,7 @@
 
     async def test_a_peers_version_is_applied_during_a_store_outage(self, watched):
         watched.store.down = True
-        watched.catalog.tell(TableNews(table_of(configuration(11))))
+        watched.catalog.tell(TableUpdate(decode_table_spec(configuration(11))))
         await watched.until(lambda: watched.tables[-1] == 11)
 
     async def test_lost_history_is_listed_again(self, watched):
@@ -163,7 +167,7 @@
     async def test_changes_in_quick_succession_take_one_call(
         self, watched, monkeypatch
     ):
-        monkeypatch.setattr(module, "GATHER_S", 2.0)
+        monkeypatch.setattr(module, "BATCH_DELAY_S", 2.0)
         store = watched.store
         store.put("servers", "t0", _entry("draining"))
         await watched.until(lambda: watched.targets["t0"].leaving)
@@ -231,14 +235,14 @@
         watched.store.down = True
         known = watched.targets["t4"]
         gone = Change("t4", None, known.revision + 100)
-        watched.catalog.tell(TargetNews((gone,)))
+        watched.catalog.tell(TargetUpdate((gone,)))
         await watched.until(lambda: "t4" not in watched.targets)
 
     async def test_a_peers_outdated_state_is_ignored(self, watched):
         old = watched.targets["t4"]
         watched.store.put("servers", "t4", {**_entry(), "Slots": 7})
         await watched.until(lambda: watched.targets["t4"].slots == 7)
-        watched.catalog.tell(TargetNews((Change("t4", old, old.revision),)))
+        watched.catalog.tell(TargetUpdate((Change("t4", old, old.revision),)))
         watched.store.put("servers", "t8", _entry())
         await watched.until(lambda: "t8" in watched.targets)
         assert watched.targets["t4"].slots == 7
@@ -254,7 +258,7 @@
         """A list sent with that revision would remove the targets that it lacks."""
         before = watched.catalog.revision
         newer = replace(watched.targets["t4"], revision=before + 100, slots=9)
-        watched.catalog.tell(TargetNews((Change("t4", newer, before + 100),)))
+        watched.catalog.tell(TargetUpdate((Change("t4", newer, before + 100),)))
         await watched.until(lambda: watched.targets["t4"].slots == 9)
         assert watched.catalog.revision == before
 
@@ -311,7 +315,7 @@
         old = watched.targets["t1@1000"]
         await self._put(watched, 2000, "t1@2000")
         late = replace(old, revision=old.revision + 100)
-        watched.catalog.tell(TargetNews((Change("t1", late, late.revision),)))
+        watched.catalog.tell(TargetUpdate((Change("t1", late, late.revision),)))
         watched.store.put("servers", "t9", _entry())
         await watched.until(lambda: "t9" in watched.targets)
         assert "t1@2000" in watched.targets
@@ -400,7 +404,7 @@
 
 async def _handle_all(catalog, changes):
     for change in changes:
-        await catalog.handle(TargetNews((change,)))
+        await catalog.handle(TargetUpdate((change,)))
 
 
 class TestMalformedEntries:
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -19,7 +19,7 @@
     Received,
     WorkInfo,
 )
-from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool
+from hibiscusstep.routing.dispatch_plan import DispatchPlan, PlannedPool
 
 
 class _Links:
@@ -58,7 +58,7 @@
 
     async def start(self, **ready):
         await self.desk.handle(_view(**ready))
-        await self.desk.handle(InForce(1, b"", Plan({"p": PlannedPool(True)})))
+        await self.desk.handle(InForce(1, b"", DispatchPlan({"p": PlannedPool(True)})))
 
     async def ask(self):
         question = Question(_wanted())
--- a/tests/test_dispatching.py
+++ b/tests/test_dispatching.py
@@ -19,7 +19,7 @@
     Received,
     WorkInfo,
 )
-from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.dispatch_plan import DispatchPlan, PlannedPool, PlannedTarget
 from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 
 POOL = "p"
@@ -60,7 +60,7 @@
         kind=SlotDispatcher, reads_reports=False,
     )  # fmt: skip
     await worker.handle(_view(d="d-1", e="e-1"))
-    await worker.handle(InForce(1, b"", Plan({POOL: PlannedPool(True)})))
+    await worker.handle(InForce(1, b"", DispatchPlan({POOL: PlannedPool(True)})))
     register = PoolRegister(POOL, "e", "e-1", [], [], [])
     await worker.handle(Received("e:1", register))
     links.sent.clear()
@@ -95,7 +95,7 @@
         worker, links = dispatching
         targets = {"t": PlannedTarget(1)}
         await worker.handle(
-            InForce(2, b"", Plan({POOL: PlannedPool(False, targets=targets)}))
+            InForce(2, b"", DispatchPlan({POOL: PlannedPool(False, targets=targets)}))
         )
         register = PoolRegister(POOL, "d", "d-1", [], [], [])
         await worker.handle(Received("d:1", register))
@@ -126,7 +126,7 @@
             kind=SlotDispatcher, reads_reports=False, serves_itself=True,
         )  # fmt: skip
         await worker.handle(_view(d="d-1"))
-        plan = Plan({POOL: PlannedPool(False, targets={"t": PlannedTarget(0)})})
+        plan = DispatchPlan({POOL: PlannedPool(False, targets={"t": PlannedTarget(0)})})
         await worker.handle(InForce(1, b"", plan))
         register = PoolRegister(POOL, "d", "d-1", [], [], [])
         await worker.handle(Received("d:1", register))
--- a/tests/test_emulated_target.py
+++ b/tests/test_emulated_target.py
@@ -39,8 +39,8 @@
         target = _target(begins=5.0)
         early = target.begin(_work(), ROUTE, 0.1, ORDER_AT_S + 4.9)
         late = target.begin(_work(1), ROUTE, 0.1, ORDER_AT_S + 5.0)
-        assert (early.outcome, early.is_bad) == (m.Outcome.DONE, False)
-        assert (late.outcome, late.is_bad) == (m.Outcome.FAILED, True)
+        assert (early.outcome, early.is_bad) == (m.GrantOutcome.DONE, False)
+        assert (late.outcome, late.is_bad) == (m.GrantOutcome.FAILED, True)
 
     def test_the_old_version_does_not_fail(self):
         assert not _target(OLD_VERSION).begin(_work(), ROUTE, 0.1, AFTER_ORDER_S).is_bad
@@ -66,7 +66,10 @@
     def test_callers_cancel_slow_requests(self):
         target = _target(badness=Badness.SLOW, factor=500.0)
         run = target.begin(_work(), ROUTE, 0.1, AFTER_ORDER_S)
-        assert (run.outcome, run.seconds) == (m.Outcome.CANCELLED, CALLER_TIMEOUT_S)
+        assert (run.outcome, run.seconds) == (
+            m.GrantOutcome.CANCELLED,
+            CALLER_TIMEOUT_S,
+        )
 
 
 class TestDisturbance:
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -24,8 +24,8 @@
 from hibiscusstep.forwarding import caller_frontend
 from hibiscusstep.forwarding.instance import ForwardingInstance
 from hibiscusstep.listening import listen
-from hibiscusstep.platform.documents import table_of
-from hibiscusstep.platform.environment import load_surroundings
+from hibiscusstep.platform.documents import decode_table_spec
+from hibiscusstep.platform.environment import load_environment
 
 BOUND_S = 15
 KEY = {"Authorization": "Bearer key-one"}
@@ -104,7 +104,7 @@
         return instance.ready and len(instance.targets) >= len(self.targets)
 
     def make_instance(self, path):
-        around = load_surroundings(path)
+        around = load_environment(path)
         settings = dataclasses.replace(around.settings, seeds=self.seeds)
         return ForwardingInstance(dataclasses.replace(around, settings=settings))
 
@@ -161,7 +161,7 @@
         )
 
     async def test_wait_for_it(self, site, monkeypatch):
-        monkeypatch.setattr(caller_frontend, "START_PATIENCE_S", BOUND_S)
+        monkeypatch.setattr(caller_frontend, "STARTUP_WAIT_S", BOUND_S)
         call = await self._call_starting_instance(site)
         async with asyncio.timeout(BOUND_S):
             while not site.instances[1].frontend.open_requests:
@@ -171,7 +171,7 @@
         assert (await call)[0] == 200
 
     async def test_are_refused_if_it_does_not_arrive(self, site, monkeypatch):
-        monkeypatch.setattr(caller_frontend, "START_PATIENCE_S", 0.05)
+        monkeypatch.setattr(caller_frontend, "STARTUP_WAIT_S", 0.05)
         status, fields, _body = await (await self._call_starting_instance(site))
         assert status == 503
         assert float(fields["Retry-After"]) > 0
@@ -657,7 +657,7 @@
         listener = listen(address)
         reader, writer = await asyncio.open_connection(*address.split(":"))
         writer.write(b"GET /none/ HTTP/1.1\r\nHost: h.example\r\n\r\n")
-        instance = ForwardingInstance(load_surroundings(path, listener))
+        instance = ForwardingInstance(load_environment(path, listener))
         running = asyncio.create_task(instance.run())
         try:
             async with asyncio.timeout(BOUND_S):
@@ -763,7 +763,7 @@
             while len(first.view.members) < 2:
                 await asyncio.sleep(0.02)
         site.store.refused = {"config", "servers"}
-        first.apply_table(table_of(configuration(9)))
+        first.apply_table(decode_table_spec(configuration(9)))
         async with asyncio.timeout(BOUND_S):
             while second.version != 9:
                 await asyncio.sleep(0.02)
--- a/tests/test_grant_monitor.py
+++ b/tests/test_grant_monitor.py
@@ -11,7 +11,7 @@
 
 from hibiscusstep.desk import STALE_GRANT_S
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.dispatch_plan import DispatchPlan, PlannedPool, PlannedTarget
 from hibiscusstep.routing.grant_monitor import (
     ANSWER_TIMEOUT_S,
     INQUIRY_INTERVAL_S,
@@ -82,13 +82,13 @@
     pool = PlannedPool(
         False, targets={f"t{n}": PlannedTarget(slots) for n in range(targets)}
     )
-    dispatcher = SlotDispatcher("p", Plan({"p": pool}))
+    dispatcher = SlotDispatcher("p", DispatchPlan({"p": pool}))
     dispatcher.handle(m.Recovered(), 0.0)
     return dispatcher
 
 
 def _ask(ask, instance, now):
-    return m.Ask(m.Work(ask, ask, instance, "c", "0", 0, 0, 1, now + 9.0, now))
+    return m.RequestGrant(m.Work(ask, ask, instance, "c", "0", 0, 0, 1, now + 9.0, now))
 
 
 class TestLostRequests:
@@ -101,8 +101,8 @@
             now = n * TICK_S
             for decision in dispatcher.handle(m.Tick(), now):
                 decided.setdefault(type(decision), (round(now, 2), decision))
-        assert decided[m.Inquire] == (MIN_OVERDUE_S, m.Inquire("dead"))
-        assert decided[m.Lost][1].work.ask == "a"
+        assert decided[m.QueryGrants] == (MIN_OVERDUE_S, m.QueryGrants("dead"))
+        assert decided[m.GrantLost][1].work.ask == "a"
         at, grant = decided[m.Grant]
         assert grant.work.ask == "b"
         assert at == pytest.approx(MIN_OVERDUE_S + ANSWER_TIMEOUT_S, abs=0.06)
@@ -121,9 +121,9 @@
         dispatcher.handle(_ask("a", "i", 0.0), 0.0)
         for n in range(40):
             dispatcher.handle(m.Tick(), n * TICK_S)
-        dispatcher.handle(m.Held("i", frozenset(["a"])), 2.0)
+        dispatcher.handle(m.HeldGrants("i", frozenset(["a"])), 2.0)
         assert dispatcher.targets["t0"].available_slots(2.0) == 0
-        dispatcher.handle(m.Finished("a", m.Outcome.DONE), 2.1)
+        dispatcher.handle(m.Finished("a", m.GrantOutcome.DONE), 2.1)
         assert dispatcher.targets["t0"].available_slots(2.1) == 1
 
 
@@ -197,7 +197,7 @@
 
     def dispatch(self, message):
         for decision in self.dispatcher.handle(message, self.now):
-            if isinstance(decision, m.Inquire | m.Grant):
+            if isinstance(decision, m.QueryGrants | m.Grant):
                 name = getattr(decision, "instance", None) or decision.work.instance
                 self.at(self.now + self.delay(), self.deliver, int(name), decision)
 
@@ -207,8 +207,8 @@
             return
         if moment > self.now:
             self.at(moment, self.deliver, instance, decision)
-        elif isinstance(decision, m.Inquire):
-            held = m.Held(str(instance), frozenset(self.held[instance]))
+        elif isinstance(decision, m.QueryGrants):
+            held = m.HeldGrants(str(instance), frozenset(self.held[instance]))
             self.to_dispatcher(instance, held)
         else:
             self.accept_grant(instance, decision)
@@ -239,7 +239,7 @@
             self.at(moment, self.finish, instance, ask)
             return
         self.held[instance].discard(ask)
-        self.to_dispatcher(instance, m.Finished(ask, m.Outcome.DONE))
+        self.to_dispatcher(instance, m.Finished(ask, m.GrantOutcome.DONE))
 
 
 _FAULTS = st.builds(
--- a/tests/test_grouped.py
+++ b/tests/test_grouped.py
@@ -16,7 +16,7 @@
 from hibiscusstep.membership.grouped import NEW_S, GroupedMembership
 from hibiscusstep.peer import Beat, Heartbeat, Received
 from hibiscusstep.peerlink import LinkLost
-from hibiscusstep.platform.environment import load_surroundings
+from hibiscusstep.platform.environment import load_environment
 from hibiscusstep.store import InstanceRecord, Roster
 
 MESH_SIZE = 2
@@ -27,7 +27,7 @@
     """Instances of which two are relays."""
 
     def make_instance(self, path):
-        around = load_surroundings(path)
+        around = load_environment(path)
         settings = dataclasses.replace(around.settings, mesh_size=MESH_SIZE)
         return ForwardingInstance(dataclasses.replace(around, settings=settings))
 
--- a/tests/test_mechanisms_off.py
+++ b/tests/test_mechanisms_off.py
@@ -20,7 +20,7 @@
 from hibiscusstep.load.drive import Result, State, _judge
 from hibiscusstep.load.mix import Arrival, RequestClass
 from hibiscusstep.progress import Progress
-from hibiscusstep.routing.target_estimate import TargetState
+from hibiscusstep.routing.target_estimate import TargetEstimate
 from hibiscusstep.targets.engine import StreamedAnswer
 
 
@@ -30,7 +30,7 @@
 
 class TestOff:
     async def test_marks_of_leaving_targets(self, tmp_path, monkeypatch):
-        monkeypatch.setattr(TargetState, "usable", lambda self, now: True)
+        monkeypatch.setattr(TargetEstimate, "usable", lambda self, now: True)
         async with Cluster(tmp_path) as cluster:
             cluster.mark(EventKind.TARGET_LEAVING, target="service-0")
             files = configuration(cluster.targets)
--- a/tests/test_pool_emulator.py
+++ b/tests/test_pool_emulator.py
@@ -17,7 +17,7 @@
 )
 from hibiscusstep.load.experiment import run_experiment, table
 from hibiscusstep.load.pool_emulator import PoolEmulator
-from hibiscusstep.routing.switches import ALL_ON, Switches
+from hibiscusstep.routing.switches import ALL_ENABLED, Switches
 
 LONG = RequestKind(0, 16.0, 6600.0, 380.0, 1.2, 0.8, 15.0)
 SHORT = RequestKind(1, 27.0, 630.0, 290.0, 1.0, 0.4, 12.0)
@@ -32,7 +32,7 @@
     )  # fmt: skip
 
 
-def _mean(deployment, switches=ALL_ON, seeds=(1, 2)):
+def _mean(deployment, switches=ALL_ENABLED, seeds=(1, 2)):
     goodputs = [PoolEmulator(deployment, s, switches).run().goodput for s in seeds]
     return sum(goodputs) / len(goodputs)
 
@@ -170,7 +170,7 @@
         instance lost."""
         off = Switches.without("ask_overdue")
         gains = [
-            self._share_after(ALL_ON, seed) - self._share_after(off, seed)
+            self._share_after(ALL_ENABLED, seed) - self._share_after(off, seed)
             for seed in (1, 2, 3, 4)
         ]
         assert min(gains) > 0
@@ -205,5 +205,5 @@
 
     def test_instances_that_are_alone_use_different_targets(self):
         """Two seeds gave 0.98 with it, 0.49 without."""
-        assert self._share_after(ALL_ON) > 0.95
+        assert self._share_after(ALL_ENABLED) > 0.95
         assert self._share_after(Switches.without("spread_alone")) < 0.6
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -4,8 +4,8 @@
 
 from hibiscusstep.forwarding.bounds import Bounds
 from hibiscusstep.forwarding.model import CustomerRule, Quota
-from hibiscusstep.forwarding.quota import QuotaKeeper
-from hibiscusstep.forwarding.quota_request import QuotaClaim
+from hibiscusstep.forwarding.quota import QuotaLimiter
+from hibiscusstep.forwarding.quota_request import QuotaRequest
 from hibiscusstep.forwarding.window import SlidingWindow
 from hibiscusstep.mailbox import Tick
 from hibiscusstep.membership.view import Member, View
@@ -37,7 +37,7 @@
         monkeypatch.setattr(loop, "time", lambda: self.now)
         self.links = [_FakeLinks() for _ in range(count)]
         self.keepers = [
-            QuotaKeeper(f"inc{n}", f"a{n}", link, BOUNDS)
+            QuotaLimiter(f"inc{n}", f"a{n}", link, BOUNDS)
             for n, link in enumerate(self.links)
         ]
         self.set_view(range(count), 0)
@@ -45,7 +45,7 @@
     def restart(self):
         """Replace all keepers with new ones, as after a power failure."""
         self.keepers = [
-            QuotaKeeper(f"new{n}", f"a{n}", link, BOUNDS)
+            QuotaLimiter(f"new{n}", f"a{n}", link, BOUNDS)
             for n, link in enumerate(self.links)
         ]
 
@@ -159,13 +159,13 @@
     async def test_waiting_requests_reserve_no_tokens(self, fleet):
         """Most waiting requests of a burst are refused for load and use no tokens."""
         keeper = fleet.keepers[0]
-        waiting = [QuotaClaim(keeper, RULE, 10, f"r{n}") for n in range(500)]
+        waiting = [QuotaRequest(keeper, RULE, 10, f"r{n}") for n in range(500)]
         assert all(claim.fits() for claim in waiting)
         taken = [claim for claim in waiting if claim.take()]
         assert 0 < len(taken) < 500
-        assert not QuotaClaim(keeper, RULE, 10, "late").take()
+        assert not QuotaRequest(keeper, RULE, 10, "late").take()
         taken[0].release()
-        assert QuotaClaim(keeper, RULE, 10, "late").take()
+        assert QuotaRequest(keeper, RULE, 10, "late").take()
 
     async def test_rate_of_zero_means_no_limit(self, fleet):
         rule = CustomerRule("free", frozenset(), None, Quota(0.0, 0.0, 10))
@@ -176,7 +176,7 @@
             while reservation := fleet.keepers[0].reserve(RULE, 10):
                 reservation.commit()
             await fleet.exchange()
-        fleet.keepers[1] = QuotaKeeper("new", "a1", fleet.links[1], BOUNDS)
+        fleet.keepers[1] = QuotaLimiter("new", "a1", fleet.links[1], BOUNDS)
         await fleet.keepers[1].handle(fleet.view_changed)
         for _tick in range(10):
             fleet.now += 0.2
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -8,11 +8,11 @@
 
 from hibiscusstep.errors import UnknownName
 from hibiscusstep.rollout.budget import ExposureBudget, ExposureLimits
-from hibiscusstep.rollout.comparison import Answer, VersionComparison
+from hibiscusstep.rollout.comparison import AnswerSample, VersionComparison
 from hibiscusstep.rollout.controller import PlannedRollout, Rollout, RolloutProgress
 from hibiscusstep.rollout.order import RolloutOrder, RolloutState
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.dispatch_plan import DispatchPlan, PlannedPool, PlannedTarget
 from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 
 LIMITS = ExposureLimits(0.1, 50.0)
@@ -67,7 +67,9 @@
     def add_running(self, count, ratio):
         """Let `count` requests run at the new version, with this time ratio so far."""
         running = [
-            Answer(f"new{n % self.targets}", "r0", False, ratio=ratio, cut_short=True)
+            AnswerSample(
+                f"new{n % self.targets}", "r0", False, ratio=ratio, cut_short=True
+            )
             for n in range(count)
         ]
         self.comparison.take_running(running, self.now)
@@ -93,7 +95,7 @@
         if self.rng.random() < slow:
             ratio *= 5.0
         route = f"r{self.rng.randrange(3)}"
-        answer = Answer(f"{name}{number}", route, failed, ratio=ratio)
+        answer = AnswerSample(f"{name}{number}", route, failed, ratio=ratio)
         self.comparison.observe(answer, new=new, now=self.now)
 
 
@@ -161,7 +163,9 @@
             failed = new and loaded and rng.random() < 0.8
             bad += failed
             name = f"{'new' if new else 'old'}{number % 3}"
-            answer = Answer(name, f"r{number % 4}", failed, ratio=1.0, loaded=loaded)
+            answer = AnswerSample(
+                name, f"r{number % 4}", failed, ratio=1.0, loaded=loaded
+            )
             comparison.observe(answer, new=new, now=now)
             if comparison.rejection_reason(3, now):
                 break
@@ -174,7 +178,7 @@
         answers.add_new(200)
         assert answers.comparison.suspicion(4) == ""
         for number in range(3):
-            failed = Answer(f"new{number}", "r0", True)
+            failed = AnswerSample(f"new{number}", "r0", True)
             answers.comparison.observe(failed, new=True, now=answers.now)
         assert answers.comparison.rejection_reason(4, answers.now) == ""
         assert answers.comparison.suspicion(4)
@@ -197,12 +201,12 @@
         rng = random.Random(1)
         for number in range(400):
             ratio = rng.lognormvariate(0.0, 0.6)
-            old = Answer(f"old{number % 4}", "r", False, ratio=ratio)
+            old = AnswerSample(f"old{number % 4}", "r", False, ratio=ratio)
             comparison.observe(old, new=False, now=0.01 * number)
         comparison.begin_full_traffic(4.0)
         ratios = sorted(rng.lognormvariate(0.0, 0.6) for _ in range(400))
         for number, ratio in enumerate(ratios):
-            new = Answer(f"new{number % 40}", "r", False, ratio=ratio)
+            new = AnswerSample(f"new{number % 40}", "r", False, ratio=ratio)
             comparison.observe(new, new=True, now=4.0 + 0.005 * number)
         assert comparison.evidence < 0.1
 
@@ -219,17 +223,17 @@
     def test_a_crash_counts_once(self):
         comparison = VersionComparison()
         for number in range(60):
-            old = Answer("old", "r", False, ratio=1.0)
+            old = AnswerSample("old", "r", False, ratio=1.0)
             comparison.observe(old, new=False, now=0.01 * number)
         for number in range(10):
-            broken = Answer("new", "r", False, broken=True)
+            broken = AnswerSample("new", "r", False, broken=True)
             comparison.observe(broken, new=True, now=1.0 + 0.001 * number)
         assert comparison.bad == 1
 
     def test_nothing_is_rejected_before_the_current_version_answered(self):
         comparison = VersionComparison()
         for number in range(40):
-            failed = Answer("new", "r", True)
+            failed = AnswerSample("new", "r", True)
             comparison.observe(failed, new=True, now=0.1 * number)
         assert comparison.rejection_reason(1, 4.0) == ""
 
@@ -263,7 +267,7 @@
             rollout.count(exposed)
             name = "new" if exposed else "old"
             failed = exposed and rng.random() < failing
-            answer = Answer(f"{name}{number % 3}", "r", failed, ratio=1.0)
+            answer = AnswerSample(f"{name}{number % 3}", "r", failed, ratio=1.0)
             rollout.comparison.observe(answer, new=exposed, now=now)
             if number % 5 == 0:
                 rollout.tick(3, now)
@@ -293,7 +297,7 @@
         rollout = _rollout()
         self._serve(rollout, 18.5)
         for number in range(4):
-            bad = Answer(f"new{number % 3}", "r", number % 2 == 0, ratio=1.0)
+            bad = AnswerSample(f"new{number % 3}", "r", number % 2 == 0, ratio=1.0)
             rollout.comparison.observe(bad, new=True, now=18.5)
         assert rollout.comparison.rejection_reason(3, 18.5) == ""
         rollout.tick(3, 19.6)
@@ -305,7 +309,7 @@
         rollout = _rollout()
         for number in range(20):
             rollout.count(True)
-            answer = Answer("new", "r", False, ratio=1.0)
+            answer = AnswerSample("new", "r", False, ratio=1.0)
             rollout.comparison.observe(answer, new=True, now=0.1 * number)
         rollout.tick(3, 19.8)
         assert rollout.verdict is RolloutState.ROLLED_BACK
@@ -358,7 +362,7 @@
         f"t{n}": PlannedTarget(4, version=version) for n, version in enumerate(versions)
     }
     pool = PlannedPool(False, 1, 1.0, targets, frozenset(serving), rollout)
-    return Plan({"p": pool})
+    return DispatchPlan({"p": pool})
 
 
 def _work(number, now, **fields):
@@ -381,9 +385,9 @@
         found = []
         for number in range(count):
             work = _work(number, now, **fields)
-            for taken in dispatcher.handle(m.Ask(work), now):
+            for taken in dispatcher.handle(m.RequestGrant(work), now):
                 found.append(taken.target)
-            dispatcher.handle(m.Finished(work.ask, m.Outcome.DONE), now + 0.01)
+            dispatcher.handle(m.Finished(work.ask, m.GrantOutcome.DONE), now + 0.01)
         return found
 
     def test_a_version_that_is_not_current_receives_nothing(self):
@@ -393,7 +397,7 @@
     def test_nor_does_it_while_all_other_targets_are_full(self):
         dispatcher = self._dispatcher(_plan())
         for number in range(20):
-            dispatcher.handle(m.Ask(_work(number, 0.0)), 0.0)
+            dispatcher.handle(m.RequestGrant(_work(number, 0.0)), 0.0)
         assert dispatcher.waiting == {"0": 12}
 
     def test_without_a_current_version_nothing_is_granted(self):
@@ -402,7 +406,7 @@
     def test_all_targets_serve_without_information_on_versions(self):
         dispatcher = self._dispatcher(_plan(serving=()))
         for number in range(12):
-            dispatcher.handle(m.Ask(_work(number, 0.0)), 0.0)
+            dispatcher.handle(m.RequestGrant(_work(number, 0.0)), 0.0)
         assert dispatcher.waiting == {}
 
     def test_an_instance_dispatching_alone_sends_no_canary_requests(self):
--- a/tests/test_rollout_emulator.py
+++ b/tests/test_rollout_emulator.py
@@ -5,7 +5,7 @@
 
 from hibiscusstep.cmdline.load import main
 from hibiscusstep.load.drawn_rollout import draw_scenario
-from hibiscusstep.load.rollout_report import play_rollout, rollout_table
+from hibiscusstep.load.rollout_report import rollout_table_lines, run_rollout
 from hibiscusstep.rollout.order import RolloutState
 
 
@@ -15,7 +15,7 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_no_requirement_is_violated(self, seed):
-        result = play_rollout(seed)
+        result = run_rollout(seed)
         assert result.findings(draw_scenario(seed).duration) == []
 
     # Regression: bad versions that were once completed; they are bad later, under load,
@@ -24,12 +24,12 @@
 
     @pytest.mark.parametrize("seed", REGRESSION_SEEDS)
     def test_a_bad_version_is_rolled_back_in_time(self, seed):
-        result = play_rollout(seed)
+        result = run_rollout(seed)
         assert result.state is RolloutState.ROLLED_BACK
         assert result.findings(draw_scenario(seed).duration) == []
 
     def test_runs_are_deterministic(self):
-        assert play_rollout(3) == play_rollout(3)
+        assert run_rollout(3) == run_rollout(3)
 
     def test_the_command(self, tmp_path):
         plot = tmp_path / "parts.png"
@@ -40,5 +40,5 @@
         assert "3 | good | completed" in result.output
 
     def test_totals(self):
-        *_rows, totals = rollout_table({3: play_rollout(3)})
+        *_rows, totals = rollout_table_lines({3: run_rollout(3)})
         assert "good and completed in time: 1" in totals
--- a/tests/test_saturated_plain_service.py
+++ b/tests/test_saturated_plain_service.py
@@ -14,9 +14,9 @@
 import pytest
 
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.dispatch_plan import DispatchPlan, PlannedPool, PlannedTarget
 from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
-from hibiscusstep.routing.switches import ALL_ON, Switches
+from hibiscusstep.routing.switches import ALL_ENABLED, Switches
 
 SPEEDS = (0.8, 1.0, 1.6)
 SLOTS = 6
@@ -31,9 +31,9 @@
 class SaturatedService:
     """Targets and a dispatcher with callers that retry once after a refusal."""
 
-    def __init__(self, seed, switches=ALL_ON):
+    def __init__(self, seed, switches=ALL_ENABLED):
         targets = {f"t{n}": PlannedTarget(SLOTS) for n in range(len(SPEEDS))}
-        plan = Plan({"p": PlannedPool(False, targets=targets)})
+        plan = DispatchPlan({"p": PlannedPool(False, targets=targets)})
         self.dispatcher = SlotDispatcher("p", plan, switches=switches)
         self.dispatcher.handle(m.Recovered(), 0.0)
         self.generator = random.Random(seed)
@@ -62,7 +62,7 @@
         self.received[ask] = number, received
         now = self.now
         self.handle_message(
-            m.Ask(
+            m.RequestGrant(
                 m.Work(
                     ask, ask, "i", "c", "0", 0, 0, 1, now + OBJECTIVE_S / 4, now,
                     due=now + OBJECTIVE_S, ends=received + DEADLINE_S,
@@ -94,7 +94,7 @@
         _number, received = self.received[ask]
         late = self.now > received + OBJECTIVE_S
         self.counts["late" if late else "in time"] += 1
-        self.handle_message(m.Finished(ask, m.Outcome.DONE))
+        self.handle_message(m.Finished(ask, m.GrantOutcome.DONE))
 
     @property
     def mean_value(self):
--- a/tests/test_saved_usage.py
+++ b/tests/test_saved_usage.py
@@ -6,11 +6,11 @@
 from quota_region import Store
 
 from hibiscusstep.forwarding.saved_usage import (
-    KeptUseWorker,
     ReadUse,
-    StoredUse,
-    StoredUsePlanner,
-    WriteUse,
+    SavedUsage,
+    SavedUsagePlanner,
+    SavedUsageWorker,
+    SaveUsage,
 )
 from hibiscusstep.forwarding.usage import UsageLedger
 from hibiscusstep.mailbox import Tick
@@ -21,7 +21,7 @@
 
 
 def _make_planner():
-    return StoredUsePlanner(), UsageLedger("a", SPAN_S, 0.0)
+    return SavedUsagePlanner(), UsageLedger("a", SPAN_S, 0.0)
 
 
 class TestPlanner:
@@ -72,16 +72,16 @@
 
     def _worker(self, store):
         read_results = []
-        return KeptUseWorker(store, SPAN_S, read_results.append), read_results
+        return SavedUsageWorker(store, SPAN_S, read_results.append), read_results
 
     async def test_reads_what_another_worker_wrote(self):
         store = Store()
         writer, _ = self._worker(store)
-        await writer.handle(WriteUse(self._USAGE))
+        await writer.handle(SaveUsage(self._USAGE))
         reader, read_results = self._worker(store)
         await reader.handle(ReadUse())
         await reader.handle(ReadUse())
-        assert read_results == [StoredUse(self._USAGE)]
+        assert read_results == [SavedUsage(self._USAGE)]
         assert store.reads == 1
 
     async def test_retries_after_store_errors(self):
@@ -89,7 +89,7 @@
         store.away = True
         worker, read_results = self._worker(store)
         await worker.handle(ReadUse())
-        await worker.handle(WriteUse(self._USAGE))
+        await worker.handle(SaveUsage(self._USAGE))
         store.away = False
         await worker.handle(Tick())
         assert store.document == asdict(self._USAGE)
--- a/tests/test_short_requests_in_overload.py
+++ b/tests/test_short_requests_in_overload.py
@@ -10,7 +10,7 @@
 from hibiscusstep.load.deployment import Burst, DrawnDeployment, RequestKind
 from hibiscusstep.load.pool_emulator import PoolEmulator
 from hibiscusstep.routing.rank_floor import RankFloor
-from hibiscusstep.routing.switches import ALL_ON, Switches
+from hibiscusstep.routing.switches import ALL_ENABLED, Switches
 
 KINDS = (
     RequestKind(0, 8.0, 6610.0, 380.0, 1.2, 1.0, 12.5),
@@ -30,7 +30,7 @@
 
     def test_serves_two_more_for_each_long_one_refused(self):
         before = self._shares(Switches.without("short_ranks"))
-        after = self._shares(ALL_ON)
+        after = self._shares(ALL_ENABLED)
         pairs = zip(KINDS, before, after, strict=True)
         gained = [kind.rate * (new - old) for kind, old, new in pairs]
         assert gained[2] > -2 * (gained[0] + gained[1])
--- a/tests/test_slot_dispatcher.py
+++ b/tests/test_slot_dispatcher.py
@@ -7,18 +7,18 @@
 from hypothesis import strategies as st
 
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.dispatch_plan import DispatchPlan, PlannedPool, PlannedTarget
 from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 from hibiscusstep.routing.slot_target import Run, SlotTarget
-from hibiscusstep.routing.switches import ALL_ON, Switches
+from hibiscusstep.routing.switches import ALL_ENABLED, Switches
 
 
-def _dispatcher(slots=(2, 2), recovered=True, switches=ALL_ON, **leaving):
+def _dispatcher(slots=(2, 2), recovered=True, switches=ALL_ENABLED, **leaving):
     targets = {
         f"t{n}": PlannedTarget(count, leaving.get(f"t{n}", False))
         for n, count in enumerate(slots)
     }
-    plan = Plan({"p": PlannedPool(True, targets=targets)})
+    plan = DispatchPlan({"p": PlannedPool(True, targets=targets)})
     dispatcher = SlotDispatcher("p", plan, switches=switches)
     if recovered:
         dispatcher.handle(m.Recovered(), 0.0)
@@ -43,7 +43,7 @@
         dispatcher = _dispatcher((2, 1))
         granted = {}
         for n in range(6):
-            granted |= _grants(dispatcher.handle(m.Ask(_work(f"a{n}")), 1.0))
+            granted |= _grants(dispatcher.handle(m.RequestGrant(_work(f"a{n}")), 1.0))
         assert len(granted) == 3
         assert sorted(granted.values()) == ["t0", "t0", "t1"]
         assert dispatcher.waiting == {"0": 3}
@@ -52,21 +52,23 @@
         dispatcher = _dispatcher((4, 4))
         dispatcher.share = 0.25
         for n in range(3):
-            dispatcher.handle(m.Ask(_work(f"a{n}")), 0.0)
+            dispatcher.handle(m.RequestGrant(_work(f"a{n}")), 0.0)
         assert dispatcher.waiting == {"0": 1}
-        done = m.Finished("a0", m.Outcome.DONE, 10)
+        done = m.Finished("a0", m.GrantOutcome.DONE, 10)
         assert _grants(dispatcher.handle(done, 1.0)).keys() == {"a2"}
 
     def test_serves_by_rank_then_by_arrival(self):
         dispatcher = _dispatcher((1,))
-        dispatcher.handle(m.Ask(_work("busy")), 0.0)
-        dispatcher.handle(m.Ask(_work("low", rank=2, received=0.1)), 0.1)
-        dispatcher.handle(m.Ask(_work("high-late", rank=1, received=0.3)), 0.3)
-        dispatcher.handle(m.Ask(_work("high-early", rank=1, received=0.2)), 0.3)
+        dispatcher.handle(m.RequestGrant(_work("busy")), 0.0)
+        dispatcher.handle(m.RequestGrant(_work("low", rank=2, received=0.1)), 0.1)
+        dispatcher.handle(m.RequestGrant(_work("high-late", rank=1, received=0.3)), 0.3)
+        dispatcher.handle(
+            m.RequestGrant(_work("high-early", rank=1, received=0.2)), 0.3
+        )
         order = []
         running = "busy"
         for at in (1.0, 2.0, 3.0):
-            done = m.Finished(running, m.Outcome.DONE, 10)
+            done = m.Finished(running, m.GrantOutcome.DONE, 10)
             (running,) = _grants(dispatcher.handle(done, at))
             order.append(running)
         assert order == ["high-early", "high-late", "low"]
@@ -74,40 +76,42 @@
     def test_late_requests_are_last_within_a_rank(self):
         """In a burst, late retries of refused requests must not delay new requests."""
         dispatcher = _dispatcher((1,))
-        dispatcher.handle(m.Ask(_work("busy")), 0.0)
+        dispatcher.handle(m.RequestGrant(_work("busy")), 0.0)
         for ask, rank, due in (("back", 1, 0.05), ("fresh", 1, 0.6), ("lower", 2, 5.0)):
             work = m.Work(
                 ask, ask, "i", "c", str(rank), rank, 500, 100, 9.0, 0.1, due=due
             )
-            dispatcher.handle(m.Ask(work), 0.1)
+            dispatcher.handle(m.RequestGrant(work), 0.1)
         order = []
         running = "busy"
         for at in (0.2, 0.3, 0.4):
-            done = m.Finished(running, m.Outcome.DONE, 10)
+            done = m.Finished(running, m.GrantOutcome.DONE, 10)
             (running,) = _grants(dispatcher.handle(done, at))
             order.append(running)
         assert order == ["fresh", "back", "lower"]
 
     def test_a_leaving_target_gets_nothing(self):
         dispatcher = _dispatcher((2, 2), t0=True)
-        assert _grants(dispatcher.handle(m.Ask(_work("a")), 0.0)) == {"a": "t1"}
+        assert _grants(dispatcher.handle(m.RequestGrant(_work("a")), 0.0)) == {
+            "a": "t1"
+        }
 
     def test_a_target_that_failed_the_request_is_avoided(self):
         dispatcher = _dispatcher((2, 2))
         work = _work("a", avoid=("t0",))
-        assert _grants(dispatcher.handle(m.Ask(work), 0.0)) == {"a": "t1"}
+        assert _grants(dispatcher.handle(m.RequestGrant(work), 0.0)) == {"a": "t1"}
 
     def test_decides_nothing_before_recovery(self):
         dispatcher = _dispatcher(recovered=False)
-        assert dispatcher.handle(m.Ask(_work("a", deadline=0.1)), 5.0) == []
+        assert dispatcher.handle(m.RequestGrant(_work("a", deadline=0.1)), 5.0) == []
         assert _grants(dispatcher.handle(m.Recovered(), 0.05)) == {"a": "t0"}
 
     def test_slowness_of_a_target_is_learned(self):
         dispatcher = _dispatcher((4, 4))
         for n in range(12):
-            grants = _grants(dispatcher.handle(m.Ask(_work(f"a{n}")), n))
+            grants = _grants(dispatcher.handle(m.RequestGrant(_work(f"a{n}")), n))
             seconds = 3.0 if grants[f"a{n}"] == "t0" else 0.3
-            done = m.Finished(f"a{n}", m.Outcome.DONE, 100, seconds)
+            done = m.Finished(f"a{n}", m.GrantOutcome.DONE, 100, seconds)
             dispatcher.handle(done, n + seconds)
         assert dispatcher.targets["t0"].slowness > dispatcher.targets["t1"].slowness
 
@@ -117,13 +121,15 @@
             "near": PlannedTarget(2, False, "b"),
         }
         dispatcher = SlotDispatcher(
-            "p", Plan({"p": PlannedPool(True, targets=targets)})
+            "p", DispatchPlan({"p": PlannedPool(True, targets=targets)})
         )
         dispatcher.handle(m.Recovered(), 0.0)
         work = m.Work("a", "a", "i", "c", "0", 0, 500, 100, 9.0, 0.0, data_centre="b")
-        assert _grants(dispatcher.handle(m.Ask(work), 0.0)) == {"a": "near"}
+        assert _grants(dispatcher.handle(m.RequestGrant(work), 0.0)) == {"a": "near"}
         other = m.Work("b", "b", "i", "c", "0", 0, 500, 100, 9.0, 0.0, data_centre="b")
-        assert _grants(dispatcher.handle(m.Ask(other), 0.0)) == {"b": "far"}, "idle"
+        assert _grants(dispatcher.handle(m.RequestGrant(other), 0.0)) == {"b": "far"}, (
+            "idle"
+        )
 
     @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 2)), max_size=40))
     def test_target_cost_follows_the_running_requests(self, steps):
@@ -146,48 +152,48 @@
 class TestLostCapacity:
     def test_slot_not_held_by_its_instance_is_freed(self):
         dispatcher = _dispatcher((1,))
-        dispatcher.handle(m.Ask(_work("lost")), 0.0)
-        dispatcher.handle(m.Ask(_work("next", received=0.1)), 0.1)
-        held = m.Held("i", frozenset())
+        dispatcher.handle(m.RequestGrant(_work("lost")), 0.0)
+        dispatcher.handle(m.RequestGrant(_work("next", received=0.1)), 0.1)
+        held = m.HeldGrants("i", frozenset())
         assert dispatcher.handle(held, 0.2) == []
         assert _grants(dispatcher.handle(held, 2.0)) == {"next": "t0"}
 
     def test_slots_of_a_dead_instance_are_freed(self):
         dispatcher = _dispatcher((1,))
-        dispatcher.handle(m.Ask(_work("a", instance="dead")), 0.0)
-        dispatcher.handle(m.Ask(_work("b")), 0.0)
+        dispatcher.handle(m.RequestGrant(_work("a", instance="dead")), 0.0)
+        dispatcher.handle(m.RequestGrant(_work("b")), 0.0)
         assert _grants(dispatcher.handle(m.InstanceGone("dead"), 1.0)) == {"b": "t0"}
 
     def test_unreachable_target_backs_off(self):
         dispatcher = _dispatcher((4, 4, 4))
-        dispatcher.handle(m.Ask(_work("a")), 0.0)
-        dispatcher.handle(m.Finished("a", m.Outcome.UNREACHABLE), 0.1)
+        dispatcher.handle(m.RequestGrant(_work("a")), 0.0)
+        dispatcher.handle(m.Finished("a", m.GrantOutcome.UNREACHABLE), 0.1)
         grants = {}
         for n in range(6):
-            grants |= _grants(dispatcher.handle(m.Ask(_work(f"b{n}")), 0.2))
+            grants |= _grants(dispatcher.handle(m.RequestGrant(_work(f"b{n}")), 0.2))
         assert "t0" not in grants.values()
 
     def test_all_targets_are_used_when_most_are_unreachable(self):
         """An instance that is cut off must not remove the targets from all others."""
         dispatcher = _dispatcher((1, 1, 1))
         for n in range(3):
-            dispatcher.handle(m.Ask(_work(f"a{n}")), 0.0)
+            dispatcher.handle(m.RequestGrant(_work(f"a{n}")), 0.0)
         for n in range(3):
-            dispatcher.handle(m.Finished(f"a{n}", m.Outcome.UNREACHABLE), 0.1)
-        assert _grants(dispatcher.handle(m.Ask(_work("b")), 0.2))
+            dispatcher.handle(m.Finished(f"a{n}", m.GrantOutcome.UNREACHABLE), 0.1)
+        assert _grants(dispatcher.handle(m.RequestGrant(_work("b")), 0.2))
 
 
 _STALE_MESSAGES = st.sampled_from(
     [
-        m.Finished("old", m.Outcome.DONE, 40, 9.0, longest_pause=3.0),
-        m.Finished("old", m.Outcome.UNREACHABLE),
-        m.Finished("old", m.Outcome.LEAVING),
+        m.Finished("old", m.GrantOutcome.DONE, 40, 9.0, longest_pause=3.0),
+        m.Finished("old", m.GrantOutcome.UNREACHABLE),
+        m.Finished("old", m.GrantOutcome.LEAVING),
         m.FirstToken("old", 9.0),
         m.Withdraw("old"),
-        m.Held("i", frozenset(["old"])),
+        m.HeldGrants("i", frozenset(["old"])),
         m.LoadReport("t0@1", 9, 9, False),
-        m.Adopt(_work("old"), "t0@1"),
-        m.Learnt({"t0@1": 9.0}),
+        m.AdoptRunning(_work("old"), "t0@1"),
+        m.LearnedEstimates({"t0@1": 9.0}),
     ]
 )
 
@@ -196,20 +202,20 @@
     """Observations of a target do not apply after it has restarted."""
 
     def _plan(self, name):
-        return Plan({"p": PlannedPool(True, targets={name: PlannedTarget(2)})})
+        return DispatchPlan({"p": PlannedPool(True, targets={name: PlannedTarget(2)})})
 
     def _restarted(self):
         dispatcher = SlotDispatcher("p", self._plan("t0@1"))
         dispatcher.handle(m.Recovered(), 0.0)
-        dispatcher.handle(m.Ask(_work("old")), 0.0)
-        dispatcher.handle(m.Ask(_work("old2")), 0.0)
+        dispatcher.handle(m.RequestGrant(_work("old")), 0.0)
+        dispatcher.handle(m.RequestGrant(_work("old2")), 0.0)
         dispatcher.handle(m.Configure(self._plan("t0@2")), 1.0)
         return dispatcher
 
     def test_its_slots_are_free_after_the_restart(self):
         dispatcher = self._restarted()
         for n in range(2):
-            granted = _grants(dispatcher.handle(m.Ask(_work(f"a{n}")), 1.0))
+            granted = _grants(dispatcher.handle(m.RequestGrant(_work(f"a{n}")), 1.0))
             assert granted == {f"a{n}": "t0@2"}
 
     @given(st.lists(_STALE_MESSAGES, max_size=12))
@@ -218,7 +224,7 @@
         updated, unchanged = self._restarted(), self._restarted()
         for message in messages:
             updated.handle(message, 1.0)
-        ask = m.Ask(_work("new"))
+        ask = m.RequestGrant(_work("new"))
         assert updated.handle(ask, 1.1) == unchanged.handle(ask, 1.1)
         assert updated.summary(1.1) == unchanged.summary(1.1)
 
@@ -232,50 +238,58 @@
     def _fail_until_backoff(self, dispatcher):
         for n in range(4):
             work = _work(f"f{n}", avoid=("t1",))
-            assert _grants(dispatcher.handle(m.Ask(work), 0.0)) == {f"f{n}": "t0"}
-            self._end(dispatcher, f"f{n}", 0.0, m.Outcome.FAILED)
+            assert _grants(dispatcher.handle(m.RequestGrant(work), 0.0)) == {
+                f"f{n}": "t0"
+            }
+            self._end(dispatcher, f"f{n}", 0.0, m.GrantOutcome.FAILED)
 
     def test_backs_off_when_most_requests_fail(self):
         dispatcher = _dispatcher((2, 2))
         self._fail_until_backoff(dispatcher)
-        assert _grants(dispatcher.handle(m.Ask(_work("a")), 0.1)) == {"a": "t1"}
-        assert _grants(dispatcher.handle(m.Ask(_work("b")), 0.1)) == {"b": "t1"}
-        assert not _grants(dispatcher.handle(m.Ask(_work("c")), 0.1))
+        assert _grants(dispatcher.handle(m.RequestGrant(_work("a")), 0.1)) == {
+            "a": "t1"
+        }
+        assert _grants(dispatcher.handle(m.RequestGrant(_work("b")), 0.1)) == {
+            "b": "t1"
+        }
+        assert not _grants(dispatcher.handle(m.RequestGrant(_work("c")), 0.1))
 
     def test_is_probed_with_one_request_and_recovers(self):
         dispatcher = _dispatcher((3, 1))
         self._fail_until_backoff(dispatcher)
         for n in range(3):
-            dispatcher.handle(m.Ask(_work(f"a{n}")), 0.1)
+            dispatcher.handle(m.RequestGrant(_work(f"a{n}")), 0.1)
         assert _grants(dispatcher.handle(m.Tick(), 0.6)) == {"a1": "t0"}
-        done = _grants(self._end(dispatcher, "a1", 0.7, m.Outcome.DONE))
+        done = _grants(self._end(dispatcher, "a1", 0.7, m.GrantOutcome.DONE))
         assert done == {"a2": "t0"}
-        assert _grants(dispatcher.handle(m.Ask(_work("b")), 0.7)) == {"b": "t0"}
+        assert _grants(dispatcher.handle(m.RequestGrant(_work("b")), 0.7)) == {
+            "b": "t0"
+        }
 
     def test_backoff_grows(self):
         dispatcher = _dispatcher((2, 2))
         self._fail_until_backoff(dispatcher)
         work = _work("again", avoid=("t1",))
-        assert _grants(dispatcher.handle(m.Ask(work), 0.6)) == {"again": "t0"}
-        self._end(dispatcher, "again", 0.6, m.Outcome.FAILED)
-        assert _grants(dispatcher.handle(m.Ask(_work("a", avoid=("t1",))), 1.2)) == {
-            "a": "t1"
-        }
+        assert _grants(dispatcher.handle(m.RequestGrant(work), 0.6)) == {"again": "t0"}
+        self._end(dispatcher, "again", 0.6, m.GrantOutcome.FAILED)
+        assert _grants(
+            dispatcher.handle(m.RequestGrant(_work("a", avoid=("t1",))), 1.2)
+        ) == {"a": "t1"}
 
     def test_rejection_causes_a_short_backoff(self):
         dispatcher = _dispatcher((2, 2))
-        dispatcher.handle(m.Ask(_work("a", avoid=("t1",))), 0.0)
-        self._end(dispatcher, "a", 0.0, m.Outcome.REJECTED)
+        dispatcher.handle(m.RequestGrant(_work("a", avoid=("t1",))), 0.0)
+        self._end(dispatcher, "a", 0.0, m.GrantOutcome.REJECTED)
         later = _work("b", avoid=("t1",))
-        assert _grants(dispatcher.handle(m.Ask(later), 0.05)) == {"b": "t1"}
+        assert _grants(dispatcher.handle(m.RequestGrant(later), 0.05)) == {"b": "t1"}
         last = _work("c", avoid=("t1",))
-        assert _grants(dispatcher.handle(m.Ask(last), 0.2)) == {"c": "t0"}
+        assert _grants(dispatcher.handle(m.RequestGrant(last), 0.2)) == {"c": "t0"}
 
 
 class TestLowestRank:
     """Higher ranks need more than all slots for a long time."""
 
-    def _overloaded(self, switches=ALL_ON):
+    def _overloaded(self, switches=ALL_ENABLED):
         """Return the ranks granted by two slots while the top rank fills both."""
         dispatcher = _dispatcher((2,), switches=switches)
         grants = []
@@ -283,9 +297,11 @@
             now = n * 0.05
             for rank in (0, 0, 2):
                 ask = _work(f"a{n}.{rank}.{len(grants)}", rank, now + 1.0, now)
-                grants += dispatcher.handle(m.Ask(replace(ask, ask=f"{n}-{rank}")), now)
+                grants += dispatcher.handle(
+                    m.RequestGrant(replace(ask, ask=f"{n}-{rank}")), now
+                )
             running = [g.work.ask for g in grants if isinstance(g, m.Grant)][-2:]
-            done = m.Finished(running[0], m.Outcome.DONE, 10)
+            done = m.Finished(running[0], m.GrantOutcome.DONE, 10)
             grants += dispatcher.handle(done, now + 0.01)
         return [g.work.rank for g in grants if isinstance(g, m.Grant)]
 
@@ -296,10 +312,10 @@
     def test_summary_contains_the_grant_share_of_each_rank(self):
         dispatcher = _dispatcher((1,))
         for n in range(12):
-            dispatcher.handle(m.Ask(_work(f"a{n}", rank=n % 2 * 2)), 0.0)
+            dispatcher.handle(m.RequestGrant(_work(f"a{n}", rank=n % 2 * 2)), 0.0)
         assert dispatcher.summary(0.0)["granted"] == {}
         for n in range(12):
-            dispatcher.handle(m.Ask(_work(f"b{n}", rank=n % 2 * 2)), 0.0)
+            dispatcher.handle(m.RequestGrant(_work(f"b{n}", rank=n % 2 * 2)), 0.0)
         assert dispatcher.summary(0.0)["granted"] == {"0": 0.08, "2": 0.0}
 
     def test_receives_almost_nothing_without_the_rank_floor(self):
@@ -309,12 +325,12 @@
     def test_overload_of_a_higher_rank_is_detected_behind_it(self):
         """The last request may be in time while the last of a higher rank is not."""
         dispatcher = _dispatcher((1,))
-        dispatcher.handle(m.Ask(_work("busy")), 0.0)
+        dispatcher.handle(m.RequestGrant(_work("busy")), 0.0)
         refused = []
         for n in range(60):
             ask = _work(f"r1.{n}", 1, deadline=0.3, tokens=2000)
-            refused += dispatcher.handle(m.Ask(ask), 0.0)
-        dispatcher.handle(m.Ask(_work("last", 2, deadline=90.0)), 0.0)
+            refused += dispatcher.handle(m.RequestGrant(ask), 0.0)
+        dispatcher.handle(m.RequestGrant(_work("last", 2, deadline=90.0)), 0.0)
         refused += dispatcher.handle(m.Tick(), 0.01)
         assert any(isinstance(d, m.Refuse) and d.work.rank == 1 for d in refused)
         assert dispatcher.is_waiting("last")
@@ -323,8 +339,8 @@
 class TestRefusing:
     def test_refuses_at_the_deadline_with_retry_after(self):
         dispatcher = _dispatcher((1,))
-        dispatcher.handle(m.Ask(_work("a")), 0.0)
-        dispatcher.handle(m.Ask(_work("b", deadline=0.5)), 0.0)
+        dispatcher.handle(m.RequestGrant(_work("a")), 0.0)
+        dispatcher.handle(m.RequestGrant(_work("b", deadline=0.5)), 0.0)
         (refusal,) = dispatcher.handle(m.Tick(), 0.6)
         assert isinstance(refusal, m.Refuse)
         assert refusal.work.ask == "b"
@@ -332,105 +348,105 @@
 
     def test_refuses_at_once_when_the_queue_is_too_long(self):
         dispatcher = _dispatcher((1,))
-        dispatcher.handle(m.Ask(_work("a", tokens=1000)), 0.0)
+        dispatcher.handle(m.RequestGrant(_work("a", tokens=1000)), 0.0)
         for n in range(5):
-            dispatcher.handle(m.Ask(_work(f"b{n}", tokens=1000)), 0.0)
-        (refusal,) = dispatcher.handle(m.Ask(_work("c", deadline=2.0)), 0.0)
+            dispatcher.handle(m.RequestGrant(_work(f"b{n}", tokens=1000)), 0.0)
+        (refusal,) = dispatcher.handle(m.RequestGrant(_work("c", deadline=2.0)), 0.0)
         assert isinstance(refusal, m.Refuse)
 
     def test_refuses_at_once_although_a_late_request_is_last(self):
         """A late request waits longer and must not hide that the queue is too long."""
         dispatcher = _dispatcher((1,))
-        dispatcher.handle(m.Ask(_work("a", tokens=1000)), 0.0)
+        dispatcher.handle(m.RequestGrant(_work("a", tokens=1000)), 0.0)
         late = m.Work("l", "l", "i", "c", "2", 2, 500, 10, 0.5, 0.3, due=0.1, ends=9.0)
-        assert dispatcher.handle(m.Ask(late), 0.3) == []
+        assert dispatcher.handle(m.RequestGrant(late), 0.3) == []
         refused = []
         for n in range(6):
             work = m.Work(
                 f"b{n}", f"b{n}", "i", "c", "1", 1, 500, 400, 0.5, 0.3, due=1.1, ends=9
             )
-            refused += dispatcher.handle(m.Ask(work), 0.3)
+            refused += dispatcher.handle(m.RequestGrant(work), 0.3)
         assert "l" in {refusal.work.ask for refusal in refused}
         assert len(refused) > 2
 
     def test_refuses_nothing_while_a_slot_is_free(self):
         dispatcher = _dispatcher((1,))
-        decisions = dispatcher.handle(m.Ask(_work("a", deadline=0.0)), 5.0)
+        decisions = dispatcher.handle(m.RequestGrant(_work("a", deadline=0.0)), 5.0)
         assert _grants(decisions) == {"a": "t0"}
 
 
 class TestLearning:
     def test_estimates_of_another_dispatcher_are_imported(self):
         first, second = _dispatcher((4, 4)), _dispatcher((4, 4))
-        first.handle(m.Ask(_work("a")), 0.0)
-        first.handle(m.Finished("a", m.Outcome.DONE, 50, 5.0), 5.0)
+        first.handle(m.RequestGrant(_work("a")), 0.0)
+        first.handle(m.Finished("a", m.GrantOutcome.DONE, 50, 5.0), 5.0)
         second.handle(first.learnt, 6.0)
         assert second.targets["t0"].slowness == first.targets["t0"].slowness > 5
-        assert _grants(second.handle(m.Ask(_work("b")), 7.0)) == {"b": "t1"}
+        assert _grants(second.handle(m.RequestGrant(_work("b")), 7.0)) == {"b": "t1"}
 
     def test_fast_prefill_allows_long_prompts_on_slow_targets(self):
         """By the initial estimate they would be late there and wait without need."""
         dispatcher = _dispatcher((8, 8))
-        dispatcher.handle(m.Learnt({"t0": 1.0, "t1": 4.0}), 0.0)
+        dispatcher.handle(m.LearnedEstimates({"t0": 1.0, "t1": 4.0}), 0.0)
         for n in range(30):
             prompt = (500, 4000, 9000)[n % 3]
             work = m.Work(f"a{n}", "r", "i", "c", "0", 0, prompt, 50, n + 1.0, n)
-            (name,) = _grants(dispatcher.handle(m.Ask(work), n)).values()
+            (name,) = _grants(dispatcher.handle(m.RequestGrant(work), n)).values()
             seconds = (0.02 + prompt / 130_000) * dispatcher.targets[name].slowness
             dispatcher.handle(m.FirstToken(f"a{n}", seconds), n + seconds)
-            dispatcher.handle(m.Finished(f"a{n}", m.Outcome.CANCELLED), n + 0.9)
+            dispatcher.handle(m.Finished(f"a{n}", m.GrantOutcome.CANCELLED), n + 0.9)
         for n in range(8):
             busy = m.Work(f"b{n}", "r", "i", "c", "0", 0, 1, 50, 99.0, 50.0)
-            dispatcher.handle(m.Ask(busy), 50.0)
+            dispatcher.handle(m.RequestGrant(busy), 50.0)
             dispatcher.handle(m.FirstToken(f"b{n}", 0.02), 50.0)
         long = m.Work("c", "r", "i", "c", "0", 0, 9000, 50, 50.3, 50.1, due=50.6)
-        assert _grants(dispatcher.handle(m.Ask(long), 50.1)) == {"c": "t1"}
+        assert _grants(dispatcher.handle(m.RequestGrant(long), 50.1)) == {"c": "t1"}
 
     def test_is_not_started_where_it_would_end_late(self):
         """An answer cut off by its caller's deadline is lost and may not run again."""
         dispatcher = _dispatcher((1, 1))
-        dispatcher.handle(m.Learnt({"t0": 1.0, "t1": 5.0}), 0.0)
-        dispatcher.handle(m.Ask(_work("a")), 0.0)
+        dispatcher.handle(m.LearnedEstimates({"t0": 1.0, "t1": 5.0}), 0.0)
+        dispatcher.handle(m.RequestGrant(_work("a")), 0.0)
         work = m.Work(
             "b", "b", "i", "c", "0", 0, 500, 850, 0.5, 0.0, due=1.0, ends=12.0
         )
-        assert dispatcher.handle(m.Ask(work), 0.0) == []
-        done = m.Finished("a", m.Outcome.DONE, 10, 0.1)
+        assert dispatcher.handle(m.RequestGrant(work), 0.0) == []
+        done = m.Finished("a", m.GrantOutcome.DONE, 10, 0.1)
         assert _grants(dispatcher.handle(done, 0.3)) == {"b": "t0"}
 
     def test_a_huge_prompt_does_not_delay_streams_of_a_slow_target(self):
         """A prompt that is in time nowhere was granted any free slot."""
         targets = {name: PlannedTarget(2) for name in ("fast", "slow")}
-        plan = Plan({"p": PlannedPool(True, 6, 0.3, targets)})
+        plan = DispatchPlan({"p": PlannedPool(True, 6, 0.3, targets)})
         dispatcher = SlotDispatcher("p", plan)
         dispatcher.handle(m.Recovered(), 0.0)
         slowness = {"fast": 1.0, "slow": 5.0}
-        dispatcher.handle(m.Learnt(slowness, 0.02, 9e-6, share=0.15), 0.0)
+        dispatcher.handle(m.LearnedEstimates(slowness, 0.02, 9e-6, share=0.15), 0.0)
 
         def ask(name, prompt, now, due):
             work = m.Work(
                 name, name, "i", "c", "0", 0, prompt, 50, now + 0.2, now, due=due,
                 ends=now + 15.0,
             )  # fmt: skip
-            return _grants(dispatcher.handle(m.Ask(work), now))
+            return _grants(dispatcher.handle(m.RequestGrant(work), now))
 
         for n in range(3):
             assert ask(f"a{n}", 300, 0.0, 1.0)
             dispatcher.handle(m.FirstToken(f"a{n}", 0.05), 0.1)
         assert len(dispatcher.targets["fast"].running) == 2
         assert not ask("huge", 60_000, 0.2, 0.5)
-        done = m.Finished("a0", m.Outcome.DONE, 10, 0.2)
+        done = m.Finished("a0", m.GrantOutcome.DONE, 10, 0.2)
         assert _grants(dispatcher.handle(done, 0.4)) == {"huge": "fast"}
 
     def test_waits_for_a_target_that_serves_in_time(self):
         dispatcher = _dispatcher((1, 1))
-        dispatcher.handle(m.Learnt({"t0": 1.0, "t1": 8.0}), 0.0)
-        dispatcher.handle(m.Ask(_work("a")), 0.0)
+        dispatcher.handle(m.LearnedEstimates({"t0": 1.0, "t1": 8.0}), 0.0)
+        dispatcher.handle(m.RequestGrant(_work("a")), 0.0)
         work = m.Work(
             "b", "b", "i", "c", "0", 0, 20_000, 50, deadline=0.8, received=0.0, due=1.0
         )
-        assert dispatcher.handle(m.Ask(work), 0.0) == []
+        assert dispatcher.handle(m.RequestGrant(work), 0.0) == []
         short = m.Work("c", "c", "i", "c", "1", 1, 10, 50, 0.8, 0.0, due=1.0)
-        assert _grants(dispatcher.handle(m.Ask(short), 0.1)) == {"c": "t1"}
-        done = m.Finished("a", m.Outcome.DONE, 10, 0.1)
+        assert _grants(dispatcher.handle(m.RequestGrant(short), 0.1)) == {"c": "t1"}
+        done = m.Finished("a", m.GrantOutcome.DONE, 10, 0.1)
         assert _grants(dispatcher.handle(done, 0.3)) == {"b": "t0"}
--- a/tests/test_state_distributor.py
+++ b/tests/test_state_distributor.py
@@ -5,10 +5,10 @@
 from platform_standin import configuration
 
 from hibiscusstep.forwarding.model import DiscoveredTarget
-from hibiscusstep.forwarding.state_distributor import REQUEST_DELAY_S, Spread
+from hibiscusstep.forwarding.state_distributor import REQUEST_DELAY_S, StateDistributor
 from hibiscusstep.membership.view import Member, View
 from hibiscusstep.peer import ConfigurationAsk, TargetStates
-from hibiscusstep.platform.documents import table_of
+from hibiscusstep.platform.documents import decode_table_spec
 from hibiscusstep.store import Change
 
 
@@ -33,7 +33,7 @@
 def _spread():
     links = _Links()
     targets = {"t": DiscoveredTarget("t", "p", "a:1", "z", 4, False, 7)}
-    spread = Spread("inc-own", "own", "z", links, targets, lambda: 9)
+    spread = StateDistributor("inc-own", "own", "z", links, targets, lambda: 9)
     return spread, links
 
 
@@ -70,7 +70,7 @@
 
     async def test_a_version_in_force_is_not_requested(self):
         spread, links = _spread()
-        spread.table = table_of(configuration(5))
+        spread.table = decode_table_spec(configuration(5))
         spread.take_view(_view(_member("a", 5)))
         spread.ask_for_newer_table()
         assert not _requests(links)
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -14,7 +14,7 @@
 from test_catalog import BOUND_S, WatchedCatalog, _entry, watched  # noqa: F401
 from test_crashing_requests import CRASHING, CrashingSite
 
-from hibiscusstep.forwarding.catalog import Follow, TargetNews
+from hibiscusstep.forwarding.catalog import SetFollowing, TargetUpdate
 from hibiscusstep.platform.eras import join_revision
 from hibiscusstep.store import Change
 
@@ -102,7 +102,7 @@
         watched.store.restore(snapshot)
         watched.store.put("servers", "t1", _entry(Slots=5))
         await watched.until(lambda: watched.targets["t1"].slots == 5)
-        watched.catalog.tell(TargetNews((Change("t1", old, old.revision),)))
+        watched.catalog.tell(TargetUpdate((Change("t1", old, old.revision),)))
         watched.store.put("servers", "t9", _entry())
         await watched.until(lambda: "t9" in watched.targets)
         assert watched.targets["t1"].slots == 5
@@ -114,11 +114,11 @@
     async def _disconnect_from_store(self, watched):  # noqa: F811
         await _raise_revisions(watched)
         old = watched.targets["t1"]
-        watched.catalog.tell(Follow(False))
+        watched.catalog.tell(SetFollowing(False))
         return old
 
     async def _receive(self, watched, target):  # noqa: F811
-        update = TargetNews((Change("t1", target, target.revision),))
+        update = TargetUpdate((Change("t1", target, target.revision),))
         watched.catalog.tell(update)
 
     async def test_peers_states_are_applied(self, watched):  # noqa: F811
--- a/tests/test_suspect_isolation.py
+++ b/tests/test_suspect_isolation.py
@@ -1,13 +1,15 @@
 """Tests of hibiscusstep.routing.suspect_isolation: isolation of suspected requests."""
 
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.dispatch_plan import DispatchPlan, PlannedPool, PlannedTarget
 from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 
 
 def _dispatcher(targets=2):
     planned = {f"t{n}": PlannedTarget(4) for n in range(targets)}
-    dispatcher = SlotDispatcher("p", Plan({"p": PlannedPool(True, targets=planned)}))
+    dispatcher = SlotDispatcher(
+        "p", DispatchPlan({"p": PlannedPool(True, targets=planned)})
+    )
     dispatcher.handle(m.Recovered(), 0.0)
     return dispatcher
 
@@ -16,7 +18,7 @@
     work = m.Work(
         ask, ask, "i", "c", "0", 0, 500, 100, 100.0, at, suspect=suspect
     )  # fmt: skip
-    return _grants(dispatcher.handle(m.Ask(work), at))
+    return _grants(dispatcher.handle(m.RequestGrant(work), at))
 
 
 def _grants(decisions):
@@ -36,7 +38,7 @@
         dispatcher = _dispatcher(3)
         assert _ask(dispatcher, "a", 7)
         assert _ask(dispatcher, "again", 7) == {}
-        done = m.Finished("a", m.Outcome.DONE, 10)
+        done = m.Finished("a", m.GrantOutcome.DONE, 10)
         assert _grants(dispatcher.handle(done, 2.0)).keys() == {"again"}
 
     def test_do_not_restrict_other_requests(self):
@@ -62,7 +64,7 @@
         for number in range(20):
             _ask(dispatcher, f"waits{number}", 7, at=1.1)
         _ask(dispatcher, "sound", at=1.2)
-        done = m.Finished("busy0", m.Outcome.DONE, 10)
+        done = m.Finished("busy0", m.GrantOutcome.DONE, 10)
         assert _grants(dispatcher.handle(done, 2.0)).keys() == {"sound"}
 
 
@@ -72,9 +74,9 @@
         work = m.Work(
             "a", "a", "i", "c", "0", 0, 500, 100, 100.0, 1.0, resting=("t0",)
         )  # fmt: skip
-        assert _grants(dispatcher.handle(m.Ask(work), 1.0)) == {"a": "t1"}
+        assert _grants(dispatcher.handle(m.RequestGrant(work), 1.0)) == {"a": "t1"}
         both = m.Work(
             "b", "b", "i", "c", "0", 0, 500, 100, 100.0, 1.0, resting=("t0", "t1")
         )  # fmt: skip
-        assert _grants(dispatcher.handle(m.Ask(both), 1.0)) == {}
+        assert _grants(dispatcher.handle(m.RequestGrant(both), 1.0)) == {}
         assert _ask(dispatcher, "another's").keys() == {"another's"}
--- a/tests/test_target_estimates.py
+++ b/tests/test_target_estimates.py
@@ -6,11 +6,11 @@
 from result import Err, Ok
 
 from hibiscusstep.errors import PlatformUnavailable
-from hibiscusstep.forwarding.target_estimates import BeliefKeeper
+from hibiscusstep.forwarding.target_estimates import EstimateKeeper
 from hibiscusstep.mailbox import Tick
 from hibiscusstep.peer import PoolLearnt
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.dispatch_plan import DispatchPlan, PlannedPool, PlannedTarget
 from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 from hibiscusstep.store import BeliefStore
 
@@ -36,7 +36,7 @@
 
 def _keeper(store):
     received = []
-    return BeliefKeeper(store, received.append), received
+    return EstimateKeeper(store, received.append), received
 
 
 class TestKeeper:
@@ -93,11 +93,11 @@
 class TestDispatcher:
     """Stored values are used until the dispatcher has its own estimates."""
 
-    _STORED = m.Learnt({"t0": 1.0, "t1": 5.0}, 0.03, 1e-5, 0.15, old=True)
+    _STORED = m.LearnedEstimates({"t0": 1.0, "t1": 5.0}, 0.03, 1e-5, 0.15, old=True)
 
     def _dispatcher(self, *names):
         targets = {name: PlannedTarget(4) for name in names}
-        plan = Plan({"p": PlannedPool(True, 6, 0.3, targets)})
+        plan = DispatchPlan({"p": PlannedPool(True, 6, 0.3, targets)})
         dispatcher = SlotDispatcher("p", plan)
         dispatcher.handle(m.Recovered(), 0.0)
         return dispatcher
@@ -106,7 +106,7 @@
         work = m.Work(
             ask, ask, "i", "c", "0", 0, prompt, 100, now + 0.2, now, due=now + 0.8
         )
-        (grant,) = dispatcher.handle(m.Ask(work), now)
+        (grant,) = dispatcher.handle(m.RequestGrant(work), now)
         return grant.target
 
     def test_a_long_prompt_avoids_a_target_stored_as_slow(self):
@@ -120,14 +120,14 @@
         dispatcher = self._dispatcher("t0")
         dispatcher.handle(self._STORED, 0.0)
         targets = {name: PlannedTarget(4) for name in ("t0", "t1")}
-        plan = Plan({"p": PlannedPool(True, 6, 0.3, targets)})
+        plan = DispatchPlan({"p": PlannedPool(True, 6, 0.3, targets)})
         dispatcher.handle(m.Configure(plan), 0.1)
         assert dispatcher.targets["t1"].slowness == 5.0
 
     def test_does_not_override_newer_measurements(self):
         dispatcher = self._dispatcher("t0", "t1")
         target = self._ask(dispatcher, "a", 500, 0.0)
-        done = m.Finished("a", m.Outcome.DONE, 50, 49 * 6 * 0.0031 * 2)
+        done = m.Finished("a", m.GrantOutcome.DONE, 50, 49 * 6 * 0.0031 * 2)
         dispatcher.handle(done, 2.0)
         dispatcher.handle(self._STORED, 2.1)
         assert dispatcher.targets[target].slowness == pytest.approx(2.0, rel=0.3)
