--- a/tests/test_target_index.py
+++ b/tests/test_target_index.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.dispatch_plan import DispatchPlan, PlannedPool, PlannedTarget
 from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 from hibiscusstep.routing.slot_target import Run, SlotTarget
 from hibiscusstep.routing.target_index import (
@@ -124,7 +124,9 @@
             f"t{n}": PlannedTarget(1, data_centre=CENTRES[n % 2])
             for n in range(targets)
         }
-        dispatcher = SlotDispatcher("p", Plan({"p": PlannedPool(True, targets=plan)}))
+        dispatcher = SlotDispatcher(
+            "p", DispatchPlan({"p": PlannedPool(True, targets=plan)})
+        )
         dispatcher.handle(m.Recovered(), 0.0)
         for n in range(targets - 1 if full else targets // 2):
             dispatcher.handle(self._ask(f"a{n}"), 0.0)
@@ -141,6 +143,6 @@
         return len(evaluated)
 
     def _ask(self, ask):
-        return m.Ask(
+        return m.RequestGrant(
             m.Work(ask, ask, "i", "c", "0", 0, 500, 99, 9.0, 0.0, data_centre="a")
         )
--- a/tests/test_target_subset.py
+++ b/tests/test_target_subset.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hibiscusstep.routing import messages as m
-from hibiscusstep.routing.dispatch_plan import Plan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.dispatch_plan import DispatchPlan, PlannedPool, PlannedTarget
 from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 from hibiscusstep.routing.slot_target import SlotTarget
 from hibiscusstep.routing.target_subset import MIN_TARGETS, TargetSubset
@@ -51,16 +51,16 @@
 
     def _granted(self, instance, asks=1):
         targets = {f"t{n}": PlannedTarget(5) for n in range(30)}
-        plan = Plan({"p": PlannedPool(True, targets=targets)})
+        plan = DispatchPlan({"p": PlannedPool(True, targets=targets)})
         dispatcher = SlotDispatcher("p", plan, alone=instance)
         dispatcher.share = 2 / 100
         slowness = {name: SLOWNESS[n % 3] for n, name in enumerate(targets)}
-        dispatcher.handle(m.Learnt(slowness, old=True), 0.0)
+        dispatcher.handle(m.LearnedEstimates(slowness, old=True), 0.0)
         dispatcher.handle(m.Recovered(), 0.0)
         decisions = []
         for n in range(asks):
             work = m.Work(f"a{n}", "r", instance, "c", "0", 0, 500, 99, 9.0, 0.0)
-            decisions += dispatcher.handle(m.Ask(work), 0.0)
+            decisions += dispatcher.handle(m.RequestGrant(work), 0.0)
         return dispatcher, [d.target for d in decisions if isinstance(d, m.Grant)]
 
     def test_instances_use_different_targets(self):
@@ -73,7 +73,7 @@
 
     def test_avoids_an_unreachable_target(self):
         dispatcher, (target,) = self._granted("i")
-        dispatcher.handle(m.Finished("a0", m.Outcome.UNREACHABLE), 0.1)
+        dispatcher.handle(m.Finished("a0", m.GrantOutcome.UNREACHABLE), 0.1)
         work = m.Work("b", "r", "i", "c", "0", 0, 500, 99, 9.0, 0.1)
-        (grant,) = dispatcher.handle(m.Ask(work), 0.1)
+        (grant,) = dispatcher.handle(m.RequestGrant(work), 0.1)
         assert isinstance(grant, m.Grant) and grant.target != target
