--- a/hibiscusstep/delivery.py
+++ b/hibiscusstep/delivery.py
@@ -157,7 +157,7 @@
 
     async def _run(self) -> None:
         admitted = self._admitted
-        self._services.retries.first_try()
+        self._services.retries.record_request()
         try:
             async with asyncio.timeout(admitted.route.answer_timeout) as self._scope:
                 if admitted.keyed and await self._answered_before():
@@ -201,7 +201,7 @@
             await run.dispatch()
             return True
         except TryElsewhere as ended:
-            if ended.failed and not self._services.retries.take():
+            if ended.failed and not self._services.retries.try_acquire():
                 detail = "The target failed, and too many requests are repeated now."
                 raise self._progress.failed(detail) from None
             self._avoid.append(granted.target)
--- a/hibiscusstep/dispatching.py
+++ b/hibiscusstep/dispatching.py
@@ -190,7 +190,9 @@
     @property
     def overdue(self) -> dict[str, int]:
         """Slots held here beyond the expected end of their requests, by pool."""
-        return {pool: duty.dispatcher.overdue for pool, duty in self._duties.items()}
+        return {
+            pool: duty.dispatcher.overdue_slots for pool, duty in self._duties.items()
+        }
 
     @property
     def rollouts(self) -> dict[str, dict]:
@@ -240,7 +242,7 @@
 
     def _tell_learnt(self, duty: Duty) -> None:
         """Tell the others what was learnt: any of them may have to dispatch next."""
-        learnt = duty.dispatcher.learnt
+        learnt = duty.dispatcher.learned_estimates
         if not learnt:
             return
         pool = duty.dispatcher.pool_name
@@ -315,14 +317,20 @@
         if not self._serves_itself or self._configuration is None:
             return None
         if pool not in self._own_duties:
-            duty = Duty(self._kind(pool, self._configuration, alone=self._own_name))
+            duty = Duty(
+                self._kind(
+                    pool, self._configuration, standalone_instance=self._own_name
+                )
+            )
             self._own_duties[pool] = duty
             if pool in self._learnt:
                 self._feed(duty, self._learnt[pool])
             self._feed(duty, m.Recovered())
         self._tick_in(TICK_S)
         duty = self._own_duties[pool]
-        duty.dispatcher.share = min(1.0, ALONE_SHARES / max(1, self._view.likely_size))
+        duty.dispatcher.capacity_share = min(
+            1.0, ALONE_SHARES / max(1, self._view.likely_size)
+        )
         return duty
 
     def _from_desk(self, sender: str, body) -> None:
@@ -340,7 +348,7 @@
                 duty.addresses[info.instance] = sender
                 duty.heard[info.instance] = now
                 self._feed(duty, m.RequestGrant(work_of(info, now)))
-                if self._serves_itself and duty.dispatcher.is_waiting(info.ask):
+                if self._serves_itself and duty.dispatcher.is_undecided(info.ask):
                     self._reply(sender, PoolQueued(pool, duty.sign_interval))
             case PoolWithdraw(ask=ask):
                 self._feed(duty, m.Withdraw(ask))
--- a/hibiscusstep/forwarding/dialect.py
+++ b/hibiscusstep/forwarding/dialect.py
@@ -119,15 +119,15 @@
         """Parse a caller's header fields (a case-insensitive multidict)."""
 
     @abstractmethod
-    def order_fields(
+    def target_request_fields(
         self, raw: Headers, order: TargetRequestHead
     ) -> Iterable[tuple[bytes, bytes]]:
         """Return the header fields to send to a target, without hop-by-hop fields."""
 
     @abstractmethod
-    def read_answer(self, status: int, headers) -> TargetResponseHead:
+    def read_response(self, status: int, headers) -> TargetResponseHead:
         """Parse the status and header fields of a target's response."""
 
     @abstractmethod
-    def answer_fields(self, raw: Headers) -> Iterable[tuple[str, str]]:
+    def caller_response_fields(self, raw: Headers) -> Iterable[tuple[str, str]]:
         """Return the header fields of a target's response to send to the caller."""
--- a/hibiscusstep/forwarding/exchange.py
+++ b/hibiscusstep/forwarding/exchange.py
@@ -110,7 +110,7 @@
 
     async def _run(self) -> web.StreamResponse:
         context, pool = self._context, self._incoming.pool
-        context.retries.first_try(pool, self._now())
+        context.retries.record_request(pool, self._now())
         while True:
             target = await self._grants.acquire_target(is_retry=self._attempts > 0)
             if isinstance(target, Refusal):
@@ -234,7 +234,7 @@
             incoming.deadline - self._now(),
             self._splitter.last_id,
         )
-        fields = dialect.order_fields(incoming.request.raw_headers, order)
+        fields = dialect.target_request_fields(incoming.request.raw_headers, order)
         if incoming.claim:
             incoming.claim.use()
         connection.begin()
@@ -243,7 +243,7 @@
         async with asyncio.timeout(self._silence_timeout()):
             while True:
                 target_response = await connection.next_response()
-                response_head = dialect.read_answer(
+                response_head = dialect.read_response(
                     target_response.message.code, target_response.message.headers
                 )
                 if response_head.leaving and not target.leaving:
@@ -280,7 +280,7 @@
             body = await self._read_body(target_response)
             if (
                 status >= MIN_SERVER_ERROR_STATUS
-                and self._incoming.route.repeat is RetryMode.WHOLE
+                and self._incoming.route.repeat is RetryMode.FROM_START
             ):
                 self._release_connection(
                     connection, target_response, response_head, target
@@ -376,7 +376,7 @@
     def _copy_fields(
         self, target_response: TargetResponse, response: web.StreamResponse
     ) -> None:
-        for name, value in self._context.dialect.answer_fields(
+        for name, value in self._context.dialect.caller_response_fields(
             target_response.message.raw_headers
         ):
             if name.lower() == "content-type":
@@ -390,7 +390,7 @@
         return (
             route.repeat is not RetryMode.NEVER
             and self._attempts < route.max_attempts
-            and self._context.retries.left(self._incoming.pool, self._now()) >= 1
+            and self._context.retries.remaining(self._incoming.pool, self._now()) >= 1
         )
 
     def _silence_timeout(self) -> float | None:
@@ -415,7 +415,7 @@
         if failure is _AttemptFailure.BROKEN and not self._standing.may_be_repeated:
             return False
         self._splitter.drop_remainder()
-        return self._context.retries.take(self._incoming.pool, self._now())
+        return self._context.retries.try_acquire(self._incoming.pool, self._now())
 
     def _respond_to_failure(self, failure: _AttemptFailure) -> web.StreamResponse:
         if (
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -580,8 +580,8 @@
         now = asyncio.get_running_loop().time()
         for (pool, state), count in states.items():
             metrics.set_gauge("targets", count, pool=pool, state=state)
-            left = self._retries.left(pool, now)
-            metrics.set_gauge("repeats_left", left, pool=pool)
+            remaining = self._retries.remaining(pool, now)
+            metrics.set_gauge("repeats_left", remaining, pool=pool)
 
     async def _serve_callers(self) -> None:
         limits = self._frontend.limits
--- a/hibiscusstep/forwarding/model.py
+++ b/hibiscusstep/forwarding/model.py
@@ -22,7 +22,7 @@
     """Whether and how a request may be retried after it was sent to a target."""
 
     NEVER = "it runs at most once"
-    WHOLE = "it may run again from its beginning"
+    FROM_START = "it may run again from its beginning"
     RESUME = "it may run again and go on behind the last event that was passed on"
 
 
--- a/hibiscusstep/forwarding/windowed_retry_budget.py
+++ b/hibiscusstep/forwarding/windowed_retry_budget.py
@@ -41,11 +41,11 @@
         self._retries: dict[str, SlidingWindow] = defaultdict(self._window)
         self.instances = 1
 
-    def first_try(self, pool: str, now: float) -> None:
+    def record_request(self, pool: str, now: float) -> None:
         """Count a request."""
         self._requests[pool].add(1, now)
 
-    def left(self, pool: str, now: float) -> float:
+    def remaining(self, pool: str, now: float) -> float:
         """Return how many retries are allowed now."""
         in_first_window = now - self._started_at < self.bounds.retry_window
         reserve = self.bounds.retry_reserve / max(1, self.instances)
@@ -55,9 +55,9 @@
         )
         return limit - self._retries[pool].total(now)
 
-    def take(self, pool: str, now: float) -> bool:
+    def try_acquire(self, pool: str, now: float) -> bool:
         """Return whether a retry is allowed, and count it if so."""
-        if self.left(pool, now) < 1.0:
+        if self.remaining(pool, now) < 1.0:
             return False
         self._retries[pool].add(1, now)
         return True
--- a/hibiscusstep/load/experiment.py
+++ b/hibiscusstep/load/experiment.py
@@ -38,7 +38,9 @@
         If a mechanism is not known.
     """
     chosen = {"": ALL_ENABLED}
-    chosen |= {off: Switches.without(off) for off in variants or (*MECHANISMS, ALL_OFF)}
+    chosen |= {
+        off: Switches.disabling(off) for off in variants or (*MECHANISMS, ALL_OFF)
+    }
     runs: dict[str, dict[str, float]] = {off: {} for off in chosen}
     for number in deployments:
         deployment = draw_deployment(number)
--- a/hibiscusstep/load/pool_emulator.py
+++ b/hibiscusstep/load/pool_emulator.py
@@ -190,9 +190,11 @@
         targets = {name: PlannedTarget(d.slots) for name in self._names}
         pool = PlannedPool(True, d.tokens_per_event, d.max_pause, targets)
         plan = DispatchPlan({POOL: pool})
-        dispatcher = SlotDispatcher(POOL, plan, alone=instance, switches=self._switches)
+        dispatcher = SlotDispatcher(
+            POOL, plan, standalone_instance=instance, switches=self._switches
+        )
         if instance:
-            dispatcher.share = min(1.0, ALONE_SHARES / d.instances)
+            dispatcher.capacity_share = min(1.0, ALONE_SHARES / d.instances)
         if self._kept and self._switches.kept_beliefs:
             dispatcher.handle(self._kept, self._now)
         dispatcher.handle(m.Recovered(), self._now)
@@ -426,9 +428,9 @@
                 self._outcomes.counts["lost"] += 1
 
     def _kept_by(self, dispatcher: SlotDispatcher) -> m.LearnedEstimates | None:
-        learnt = dispatcher.learnt
-        if learnt is None:
+        learned = dispatcher.learned_estimates
+        if learned is None:
             return None
         return m.LearnedEstimates(
-            learnt.slowness, learnt.first, learnt.token, learnt.share, old=True
+            learned.slowness, learned.first, learned.token, learned.share, old=True
         )
--- a/hibiscusstep/load/rollout_emulator.py
+++ b/hibiscusstep/load/rollout_emulator.py
@@ -159,11 +159,15 @@
         )
         return DispatchPlan({POOL: pool})
 
-    def _create_dispatcher(self, alone: str = "") -> SlotDispatcher:
-        plan = self._stale_plan if alone and self._stale_plan else self._plan()
-        dispatcher = SlotDispatcher(POOL, plan, alone=alone)
-        if alone:
-            dispatcher.share = min(1.0, 2.0 / self._scenario.instances)
+    def _create_dispatcher(self, standalone_instance: str = "") -> SlotDispatcher:
+        plan = (
+            self._stale_plan
+            if standalone_instance and self._stale_plan
+            else self._plan()
+        )
+        dispatcher = SlotDispatcher(POOL, plan, standalone_instance=standalone_instance)
+        if standalone_instance:
+            dispatcher.capacity_share = min(1.0, 2.0 / self._scenario.instances)
         dispatcher.handle(m.Recovered(), self._now)
         return dispatcher
 
@@ -310,7 +314,7 @@
             self._result.bad_answers += 1
             if self._result.bad_answers == TOLERATED_BAD_ANSWERS:
                 self._tolerance_reached_at = self._now
-        if dispatcher is not self._dispatcher and not dispatcher.is_alone:
+        if dispatcher is not self._dispatcher and not dispatcher.is_standalone:
             dispatcher = self._dispatcher
         if dispatcher:
             decoding = max(0.0, run.seconds - run.first)
--- a/hibiscusstep/platform/documents.py
+++ b/hibiscusstep/platform/documents.py
@@ -189,7 +189,7 @@
 
 def _decode_repeat(kind: str, resumable: bool) -> RetryMode:
     if kind == "safe":
-        return RetryMode.WHOLE
+        return RetryMode.FROM_START
     return RetryMode.RESUME if kind == "streaming" and resumable else RetryMode.NEVER
 
 
--- a/hibiscusstep/platform/headers.py
+++ b/hibiscusstep/platform/headers.py
@@ -49,7 +49,7 @@
             prompt=headers.get("X-Prompt-Prefix", ""),
         )
 
-    def order_fields(self, raw, order: TargetRequestHead):
+    def target_request_fields(self, raw, order: TargetRequestHead):
         """Return the caller's end-to-end fields and those that the system adds."""
         fields = [(k, v) for k, v in raw if k.lower() not in _DROPPED_FIELDS]
         milliseconds = max(1, int(order.timeout * 1000))
@@ -61,7 +61,7 @@
             fields.append((b"Last-Event-Id", order.last_event.encode()))
         return fields
 
-    def read_answer(self, status: int, headers) -> TargetResponseHead:
+    def read_response(self, status: int, headers) -> TargetResponseHead:
         """Parse a target's fields."""
         running, waiting = _parse_int_pair(headers.get("X-Server-Load", ""), -1)
         return TargetResponseHead(
@@ -79,7 +79,7 @@
             stay_away=_parse_retry_after(status, headers),
         )
 
-    def answer_fields(self, raw):
+    def caller_response_fields(self, raw):
         """Return the target's fields without hop-by-hop ones."""
         return [
             (k.decode("latin-1"), v.decode("latin-1"))
--- a/hibiscusstep/platform/settings.py
+++ b/hibiscusstep/platform/settings.py
@@ -85,7 +85,7 @@
         heartbeat_interval=HEARTBEAT_INTERVAL_S,
         suspect_after=SUSPECT_AFTER_S,
         capacity=_capacity(document.get("Limits") or {}),
-        switches=Switches.without(os.environ.get(DISABLED_MECHANISMS_VARIABLE, "")),
+        switches=Switches.disabling(os.environ.get(DISABLED_MECHANISMS_VARIABLE, "")),
     )
     return PlatformSettings(
         instance,
--- a/hibiscusstep/routing/engine_model.py
+++ b/hibiscusstep/routing/engine_model.py
@@ -39,17 +39,17 @@
     _xx: float = 0.0
     _y: float = 0.0
     _xy: float = 0.0
-    first: float = FIRST_TOKEN_S
-    token: float = 1.0 / PREFILL_TOKENS_PER_S
-    learnt: int = 0
+    base_seconds: float = FIRST_TOKEN_S
+    seconds_per_token: float = 1.0 / PREFILL_TOKENS_PER_S
+    observations: int = 0
 
     def __post_init__(self) -> None:
         """Start from the initial estimate."""
-        self.reset(self.first, self.token)
+        self.reset(self.base_seconds, self.seconds_per_token)
 
     def reset(self, first: float, token: float) -> None:
         """Restart from estimates of another dispatcher."""
-        self.first, self.token = first, token
+        self.base_seconds, self.seconds_per_token = first, token
         self._weight = self._x = self._xx = self._y = self._xy = 0.0
         for prompt in PRIOR_PROMPTS:
             weight = PRIOR_ANSWERS / len(PRIOR_PROMPTS)
@@ -57,12 +57,12 @@
 
     def prefill_seconds(self, prompt_tokens: int) -> float:
         """Return the prefill time of a prompt in seconds."""
-        return prompt_tokens * self.token
+        return prompt_tokens * self.seconds_per_token
 
     def answer_seconds(self, prompt_tokens: int, output_tokens: float) -> float:
         """Return the time of a complete answer in seconds."""
         return (
-            self.first
+            self.base_seconds
             + self.prefill_seconds(prompt_tokens)
             + output_tokens * ENGINE_STEP_S
         )
@@ -71,15 +71,15 @@
         """Update the estimates by a time to the first token, scaled to slowness 1."""
         for name in ("_weight", "_x", "_xx", "_y", "_xy"):
             setattr(self, name, RETENTION * getattr(self, name))
-        self.learnt += 1
+        self.observations += 1
         self._add(prompt_tokens, seconds, 1.0)
         spread = self._weight * self._xx - self._x**2
         if spread <= 0:
             return
         token = (self._weight * self._xy - self._x * self._y) / spread
-        self.token = min(MAX_TOKEN_S, max(MIN_TOKEN_S, token))
-        first = (self._y - self.token * self._x) / self._weight
-        self.first = min(MAX_FIRST_S, max(MIN_FIRST_S, first))
+        self.seconds_per_token = min(MAX_TOKEN_S, max(MIN_TOKEN_S, token))
+        first = (self._y - self.seconds_per_token * self._x) / self._weight
+        self.base_seconds = min(MAX_FIRST_S, max(MIN_FIRST_S, first))
 
     def _add(self, prompt: float, seconds: float, weight: float) -> None:
         self._weight += weight
@@ -105,22 +105,22 @@
 
     spread: InitVar[float]
     _mean: float = 0.0
-    _square: float = field(init=False)
+    _variance: float = field(init=False)
 
     def __post_init__(self, spread: float) -> None:
         """Start from the initial estimate."""
-        self._square = spread**2
+        self._variance = spread**2
 
     def observe(self, ratio: float) -> None:
         """Update the estimate by an observation."""
         value = math.log(ratio)
         self._mean += RATIO_LEARNING_RATE * (value - self._mean)
         squared_error = (value - self._mean) ** 2
-        self._square += RATIO_LEARNING_RATE * (squared_error - self._square)
+        self._variance += RATIO_LEARNING_RATE * (squared_error - self._variance)
 
     def above_median(self, deviations: float) -> float:
         """Return the ratio at a number of standard deviations above the median."""
-        return math.exp(self._mean + deviations * math.sqrt(self._square))
+        return math.exp(self._mean + deviations * math.sqrt(self._variance))
 
 
 # Initial spread of an answer's length relative to its hint, and the number of standard
@@ -197,11 +197,11 @@
     targets had a pause beyond its route's limit.
     """
 
-    most: float = UNKNOWN_CHUNK_S
+    max_seconds: float = UNKNOWN_CHUNK_S
 
     def between_events(self, prefill_seconds: float) -> float:
         """Return the seconds of pending prefill that run between two events."""
-        return min(self.most, prefill_seconds)
+        return min(self.max_seconds, prefill_seconds)
 
     def observe(self, pause: float, prefill_seconds: float) -> None:
         """Update the estimate by the longest pause of an answer.
@@ -214,10 +214,14 @@
             Maximum pending prefill beside the answer, in seconds. Less than the
             estimated chunk says nothing about its size.
         """
-        if prefill_seconds < min(self.most, MULTI_CHUNK_S):
+        if prefill_seconds < min(self.max_seconds, MULTI_CHUNK_S):
             return
-        if self.most == UNKNOWN_CHUNK_S:
-            self.most = max(MIN_CHUNK_S, pause)
+        if self.max_seconds == UNKNOWN_CHUNK_S:
+            self.max_seconds = max(MIN_CHUNK_S, pause)
             return
-        weight = CHUNK_INCREASE_RATE if pause > self.most else CHUNK_DECREASE_RATE
-        self.most = max(MIN_CHUNK_S, self.most + weight * (pause - self.most))
+        weight = (
+            CHUNK_INCREASE_RATE if pause > self.max_seconds else CHUNK_DECREASE_RATE
+        )
+        self.max_seconds = max(
+            MIN_CHUNK_S, self.max_seconds + weight * (pause - self.max_seconds)
+        )
--- a/hibiscusstep/routing/policy_dispatcher.py
+++ b/hibiscusstep/routing/policy_dispatcher.py
@@ -77,7 +77,7 @@
             for target in self._targets.values()
         }
 
-    def _decide(self, message, now: float) -> None:
+    def _make_decisions(self, message, now: float) -> None:
         self._schedule(now)
         self._shed(now)
 
@@ -88,10 +88,10 @@
         )
 
     @singledispatchmethod
-    def _take(self, message, now: float) -> None:
+    def _update_state(self, message, now: float) -> None:
         raise TypeError(f"unknown dispatcher message: {message!r}")
 
-    @_take.register
+    @_update_state.register
     def _ask(self, message: m.RequestGrant, now: float) -> None:
         work = message.work
         if work.ask in self._tier_by_ask:
@@ -109,17 +109,17 @@
         if self._recovered:
             self._check_on_arrival(queued, now)
 
-    @_take.register
+    @_update_state.register
     def _withdraw(self, message: m.Withdraw, now: float) -> None:
         self._drop(message.ask)
 
-    @_take.register
+    @_update_state.register
     def _first_token(self, message: m.FirstToken, now: float) -> None:
-        target = self._targets.get(self._placed.get(message.ask, ""))
+        target = self._targets.get(self._target_by_ask.get(message.ask, ""))
         if target:
             target.first_token(message.ask, message.seconds, now)
 
-    @_take.register
+    @_update_state.register
     def _finished(self, message: m.Finished, now: float) -> None:
         target = self._release(message.ask)
         if target is None:
@@ -134,7 +134,7 @@
             target.discard(message.ask)
             target.leaving |= message.outcome is m.GrantOutcome.LEAVING
 
-    @_take.register
+    @_update_state.register
     def _load_report(self, message: m.LoadReport, now: float) -> None:
         target = self._targets.get(message.target)
         if target:
@@ -142,7 +142,7 @@
             target.leaving = message.leaving
             target.reachable = message.reachable
 
-    @_take.register
+    @_update_state.register
     def _adopt(self, message: m.AdoptRunning, now: float) -> None:
         work = message.work
         target = self._targets.get(message.target)
@@ -150,18 +150,18 @@
         if target:
             target.grant(work, now)
             target.running[work.ask].first = now
-            self._placed[work.ask] = message.target
+            self._target_by_ask[work.ask] = message.target
             self._running_by_customer[work.customer] += 1
 
-    @_take.register
+    @_update_state.register
     def _recover(self, message: m.Recovered, now: float) -> None:
         self._recovered = True
 
-    @_take.register
+    @_update_state.register
     def _suspect_partition(self, message: m.SuspectPartition, now: float) -> None:
         self._partition_suspected = message.doubtful
 
-    @_take.register
+    @_update_state.register
     def _instance_gone(self, message: m.InstanceGone, now: float) -> None:
         dropped = [
             queued.work
@@ -178,11 +178,11 @@
         for work in dropped:
             self._drop(work.ask)
 
-    @_take.register
+    @_update_state.register
     def _reconfigure(self, message: m.Configure, now: float) -> None:
         self._configure(message.configuration)
 
-    @_take.register
+    @_update_state.register
     def _tick(self, message: m.Tick, now: float) -> None:
         pass
 
@@ -333,7 +333,7 @@
         queue.charge(queued, self._weights.get(work.customer, 1.0))
         self._tier_by_ask.pop(work.ask, None)
         target.grant(work, now)
-        self._placed[work.ask] = target.name
+        self._target_by_ask[work.ask] = target.name
         self._running_by_customer[work.customer] += 1
         self.counts.granted += 1
         wait = round(now - work.received, 4)
@@ -457,7 +457,7 @@
             target.discard(ask)
 
     def _release(self, ask: str) -> TargetEstimate | None:
-        target = self._targets.get(self._placed.pop(ask, ""))
+        target = self._targets.get(self._target_by_ask.pop(ask, ""))
         if target and ask in target.running:
             self._running_by_customer[target.running[ask].work.customer] -= 1
         return target
--- a/hibiscusstep/routing/pool_dispatcher.py
+++ b/hibiscusstep/routing/pool_dispatcher.py
@@ -42,7 +42,7 @@
     ----------
     counts : PoolCounts
         Totals since the start.
-    share : float
+    capacity_share : float
         Fraction of all slots that this dispatcher may occupy at a time; other
         dispatchers of the pool use the rest.
     """
@@ -50,11 +50,11 @@
     def __init__(self, pool_name: str) -> None:
         self._pool_name = pool_name
         self._targets: dict = {}
-        self._placed: dict[str, str] = {}
+        self._target_by_ask: dict[str, str] = {}
         self._recovered = False
         self._decisions: list[m.Decision] = []
         self.counts = PoolCounts()
-        self.share = 1.0
+        self.capacity_share = 1.0
 
     @property
     def pool_name(self) -> str:
@@ -77,12 +77,12 @@
         """Number of waiting requests by tier."""
 
     @property
-    def learnt(self) -> m.LearnedEstimates | None:
+    def learned_estimates(self) -> m.LearnedEstimates | None:
         """Learned estimates for the next dispatcher; None if there are none."""
         return None
 
     @property
-    def overdue(self) -> int:
+    def overdue_slots(self) -> int:
         """Slots of requests that run past their expected end; 0 if not known."""
         return 0
 
@@ -95,7 +95,7 @@
         """Return the instances whose waiting requests need a keep-alive message."""
         return set()
 
-    def is_waiting(self, ask: str) -> bool:
+    def is_undecided(self, ask: str) -> bool:
         """Whether the request with this id is neither granted nor refused yet."""
         return False
 
@@ -123,15 +123,15 @@
             In the order in which they were made.
         """
         self._decisions = []
-        self._take(message, now)
+        self._update_state(message, now)
         if self._recovered:
-            self._decide(message, now)
+            self._make_decisions(message, now)
         return self._decisions
 
     @abstractmethod
-    def _take(self, message, now: float) -> None:
+    def _update_state(self, message, now: float) -> None:
         """Update the state from a message."""
 
     @abstractmethod
-    def _decide(self, message, now: float) -> None:
+    def _make_decisions(self, message, now: float) -> None:
         """Make all decisions that are possible after a message."""
--- a/hibiscusstep/routing/retry_budget.py
+++ b/hibiscusstep/routing/retry_budget.py
@@ -22,11 +22,11 @@
         self._reserve = reserve if share else 0.0
         self._tokens = self._reserve
 
-    def first_try(self) -> None:
+    def record_request(self) -> None:
         """Count a request's first attempt."""
         self._tokens = min(self._reserve, self._tokens + self._share)
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Count a retry if the budget allows it; return whether it does."""
         if self._tokens < 1.0:
             return False
--- a/hibiscusstep/routing/slot_dispatcher.py
+++ b/hibiscusstep/routing/slot_dispatcher.py
@@ -69,7 +69,7 @@
         The pool.
     plan : DispatchPlan
         The targets of the pool.
-    alone : str
+    standalone_instance : str
         Name of the instance if the dispatcher serves only this one; empty if it serves
         all instances.
     switches : Switches
@@ -80,16 +80,16 @@
         self,
         pool_name: str,
         plan: DispatchPlan,
-        alone: str = "",
+        standalone_instance: str = "",
         switches: Switches = ALL_ENABLED,
         **_options,
     ) -> None:
         super().__init__(pool_name)
-        uses_subset = alone and switches.spread_alone
-        self._target_subset = TargetSubset(alone) if uses_subset else None
+        uses_subset = standalone_instance and switches.spread_alone
+        self._target_subset = TargetSubset(standalone_instance) if uses_subset else None
         self._subset_targets: list[SlotTarget] = []
         self._subset_updated_at = -math.inf
-        self._standalone_name = alone
+        self._standalone_name = standalone_instance
         self._switches = switches
         self._queue = SlotQueue()
         self._refused_requests = RefusedRequests()
@@ -102,7 +102,7 @@
         self._imported_slowness: dict[str, float] = {}
         self._service_rate = 0.0
         self._service_rate_updated_at = -math.inf
-        self._partition = VersionPartition(self._selector, bool(alone))
+        self._partition = VersionPartition(self._selector, bool(standalone_instance))
         # A dict lookup: a dispatching decorator costs 7 us per message.
         self._handlers = {
             m.RequestGrant: self._enqueue,
@@ -127,20 +127,22 @@
         return self._queue.count_by_tier
 
     @property
-    def learnt(self) -> m.LearnedEstimates | None:
+    def learned_estimates(self) -> m.LearnedEstimates | None:
         """Slowness of the targets and engine estimates; None before any observation."""
-        slowness = {name: t.slowness for name, t in self._targets.items() if t.learnt}
+        slowness = {
+            name: t.slowness for name, t in self._targets.items() if t.observations
+        }
         if not slowness:
             return None
         return self._selector.estimates(slowness)
 
     @property
-    def overdue(self) -> int:
+    def overdue_slots(self) -> int:
         """Number of slots held by requests beyond their expected end."""
         return self._grant_monitor.overdue
 
     @property
-    def is_alone(self) -> bool:
+    def is_standalone(self) -> bool:
         """Whether the dispatcher serves a single instance."""
         return self._standalone_name != ""
 
@@ -153,7 +155,7 @@
         """Return the instances with queued requests."""
         return {work.instance for work in self._queue}
 
-    def is_waiting(self, ask: str) -> bool:
+    def is_undecided(self, ask: str) -> bool:
         """Return whether a request is queued."""
         return ask in self._queue
 
@@ -165,11 +167,11 @@
         return {
             "waiting": self.waiting,
             "granted": granted,
-            "overdue": self.overdue,
+            "overdue": self.overdue_slots,
             "targets": targets,
         }
 
-    def _decide(self, message, now: float) -> None:
+    def _make_decisions(self, message, now: float) -> None:
         if isinstance(message, m.RequestGrant):
             self._schedule_new(message.work.ask, now)
         elif isinstance(message, _GRANT_TRIGGERS):
@@ -178,7 +180,7 @@
             self._update_service_rate(now)
             self._expire(now)
 
-    def _take(self, message, now: float) -> None:
+    def _update_state(self, message, now: float) -> None:
         handler = self._handlers.get(type(message))
         if handler is None:
             raise TypeError(f"unknown dispatcher message: {message!r}")
@@ -208,7 +210,7 @@
         self._remove_request(message.ask, now)
 
     def _first_token(self, message: m.FirstToken, now: float) -> None:
-        target = self._targets.get(self._placed.get(message.ask, ""))
+        target = self._targets.get(self._target_by_ask.get(message.ask, ""))
         run = target.mark_first_token(message.ask) if target else None
         if run is not None:
             self._selector.record_first_token(target, run, message.seconds)
@@ -217,7 +219,7 @@
     def _finished(self, message: m.Finished, now: float) -> None:
         self._grant_monitor.forget(message.ask)
         self._lost_requests.forget(message.ask)
-        target = self._targets.get(self._placed.pop(message.ask, ""))
+        target = self._targets.get(self._target_by_ask.pop(message.ask, ""))
         run = target.remove(message.ask) if target else None
         if run is None:
             return
@@ -245,14 +247,14 @@
         for ask in (
             self._grant_monitor.asks_of_instance(message.instance) - message.asks
         ):
-            run = self._targets[self._placed[ask]].running[ask]
+            run = self._targets[self._target_by_ask[ask]].running[ask]
             if run.granted < now - MAX_GRANT_TRANSIT_S:
                 self._remove_request(ask, now)
 
     def _import_estimates(self, message: m.LearnedEstimates, now: float) -> None:
         if not message.old:
             self._imported_slowness = {}
-        elif self.learnt:
+        elif self.learned_estimates:
             return
         self._imported_slowness |= message.slowness
         for target in self._targets.values():
@@ -265,14 +267,14 @@
         slowness = self._imported_slowness.get(target.name)
         if slowness is not None:
             target.slowness = slowness
-            target.learnt = max(1, target.learnt)
+            target.observations = max(1, target.observations)
 
     def _load_report(self, message: m.LoadReport, now: float) -> None:
         target = self._targets.get(message.target)
         if target:
             known = len(target.running)
-            target.foreign = max(0, message.running + message.waiting - known)
-            target.foreign_at = now
+            target.external_requests = max(0, message.running + message.waiting - known)
+            target.external_reported_at = now
 
     def _adopt(self, message: m.AdoptRunning, now: float) -> None:
         self._remove_request(message.work.ask, now)
@@ -301,7 +303,7 @@
         result = self._grant_monitor.check(now)
         self._decisions += [m.QueryGrants(name) for name in sorted(result.instances)]
         for ask in result.lost:
-            target = self._targets[self._placed[ask]]
+            target = self._targets[self._target_by_ask[ask]]
             lost = m.GrantLost(target.running[ask].work, target.name)
             self._remove_request(ask, now)
             self.counts.lost += 1
@@ -332,7 +334,7 @@
             gone = self._targets.pop(name)
             self._partition.remove(gone)
             for ask in gone.running:
-                self._placed.pop(ask, None)
+                self._target_by_ask.pop(ask, None)
                 self._grant_monitor.forget(ask)
 
     def _schedule(self, now: float) -> None:
@@ -369,8 +371,8 @@
 
     def _has_free_slot(self, now: float) -> bool:
         """Return whether a slot may be free within this dispatcher's share."""
-        limit = math.ceil(self.share * self._partition.slots(now))
-        return len(self._placed) < limit and self._partition.has_free_slot(now)
+        limit = math.ceil(self.capacity_share * self._partition.slots(now))
+        return len(self._target_by_ask) < limit and self._partition.has_free_slot(now)
 
     def _try_grant(self, work: m.Work, now: float) -> bool:
         """Grant a request if an available target suits it; return whether it was."""
@@ -399,7 +401,7 @@
         if now >= self._subset_updated_at + RATE_UPDATE_INTERVAL_S:
             self._subset_updated_at = now
             self._subset_targets = self._target_subset.choose(
-                self._partition.serving.usable(now), self.share
+                self._partition.serving.usable(now), self.capacity_share
             )
         return [
             target for target in self._subset_targets if target.available_slots(now) > 0
@@ -425,7 +427,7 @@
         ) + selector.first_token_seconds(work)
         target.add(work.ask, run)
         self._partition.update(target, now)
-        self._placed[work.ask] = target.name
+        self._target_by_ask[work.ask] = target.name
         expected_end = now + selector.duration_bound(target, work, now)
         self._grant_monitor.register(work.ask, work.instance, expected_end)
 
@@ -479,7 +481,7 @@
     def _remove_request(self, ask: str, now: float) -> None:
         self._queue.remove(ask)
         self._grant_monitor.forget(ask)
-        target = self._targets.get(self._placed.pop(ask, ""))
+        target = self._targets.get(self._target_by_ask.pop(ask, ""))
         if target:
             target.remove(ask)
             self._partition.update(target, now)
--- a/hibiscusstep/routing/slot_target.py
+++ b/hibiscusstep/routing/slot_target.py
@@ -86,18 +86,18 @@
         Whether it accepts no new requests.
     slowness : float
         Learned ratio of service times to the initial estimates.
-    learnt : int
+    observations : int
         Number of observations of the slowness.
-    failing : float
+    failure_share : float
         Learned share of recent requests that failed.
-    rests : int
+    backoffs : int
         Number of backoffs since the last complete answer.
-    rest_until : float
+    backoff_until : float
         End of the backoff, on the dispatcher's clock.
-    foreign : int
+    external_requests : int
         Requests at the target that this dispatcher did not grant, by the last load
         report.
-    foreign_at : float
+    external_reported_at : float
         When the last load report arrived, on the dispatcher's clock.
     data_centre : str
         Where it runs.
@@ -109,18 +109,18 @@
     slots: int
     leaving: bool = False
     slowness: float = 1.0
-    learnt: int = 0
-    failing: float = 0.0
-    rests: int = 0
-    rest_until: float = 0.0
-    foreign: int = 0
-    foreign_at: float = -10.0
+    observations: int = 0
+    failure_share: float = 0.0
+    backoffs: int = 0
+    backoff_until: float = 0.0
+    external_requests: int = 0
+    external_reported_at: float = -10.0
     data_centre: str = ""
     version: str = ""
     running: dict[str, Run] = field(default_factory=dict)
-    _ahead: float = 0.0
-    _prefill_left: float = 0.0
-    _prefill_at: float = -1.0
+    _running_seconds: float = 0.0
+    _remaining_prefill: float = 0.0
+    _remaining_prefill_at: float = -1.0
 
     def add(self, ask: str, run: Run) -> None:
         """Add a granted request."""
@@ -150,12 +150,12 @@
         return run
 
     def _invalidate(self) -> None:
-        self._ahead = sum(run.cost for run in self.running.values())
-        self._prefill_at = -1.0
+        self._running_seconds = sum(run.cost for run in self.running.values())
+        self._remaining_prefill_at = -1.0
 
     def usable(self, now: float) -> bool:
         """Return whether the target may be granted new requests."""
-        return not self.leaving and now >= self.rest_until
+        return not self.leaving and now >= self.backoff_until
 
     @property
     def unassigned_slots(self) -> int:
@@ -165,8 +165,12 @@
 
     def available_slots(self, now: float) -> int:
         """Return the number of further requests that the target can serve."""
-        foreign = self.foreign if now - self.foreign_at < EXTERNAL_LOAD_TTL_S else 0
-        return self.unassigned_slots - foreign
+        external = (
+            self.external_requests
+            if now - self.external_reported_at < EXTERNAL_LOAD_TTL_S
+            else 0
+        )
+        return self.unassigned_slots - external
 
     def remaining_prefill(self, now: float) -> float:
         """Return the estimated seconds of pending prefill at slowness 1.
@@ -174,24 +178,24 @@
         The value is cached for the current time, since a dispatcher evaluates many
         requests for a target at once.
         """
-        if now != self._prefill_at:
-            self._prefill_at = now
-            self._prefill_left = sum(
+        if now != self._remaining_prefill_at:
+            self._remaining_prefill_at = now
+            self._remaining_prefill = sum(
                 max(0.0, run.prefill - (now - run.granted) / self.slowness)
                 for run in self.running.values()
                 if not run.began
             )
-        return self._prefill_left
+        return self._remaining_prefill
 
     def cost(self, own: float) -> float:
         """Return the weighted seconds of a request of `own` estimated seconds."""
-        spent = self.slowness * (own + RUNNING_WEIGHT * self._ahead)
-        return spent * (1 + FAILURE_COST_FACTOR * self.failing)
+        spent = self.slowness * (own + RUNNING_WEIGHT * self._running_seconds)
+        return spent * (1 + FAILURE_COST_FACTOR * self.failure_share)
 
     def record_success(self) -> None:
         """Record a complete answer."""
-        self.rests = 0
-        self.failing *= 1 - FAILURE_LEARNING_RATE
+        self.backoffs = 0
+        self.failure_share *= 1 - FAILURE_LEARNING_RATE
 
     def observe_first_token(self, ratio: float) -> None:
         """Update the slowness by a first token, for use until an answer is complete."""
@@ -201,19 +205,19 @@
     def observe(self, ratio: float) -> None:
         """Update the slowness by a ratio of observed to estimated seconds."""
         ratio = min(MAX_SLOWNESS, max(MIN_SLOWNESS, ratio))
-        self.learnt += 1
-        weight = max(LEARNING_RATE, 1 / (1 + self.learnt))
+        self.observations += 1
+        weight = max(LEARNING_RATE, 1 / (1 + self.observations))
         self.slowness += weight * (ratio - self.slowness)
 
     def record_failure(self, now: float) -> None:
         """Record a failure; a target that mostly fails backs off."""
-        self.failing += FAILURE_LEARNING_RATE * (1 - self.failing)
+        self.failure_share += FAILURE_LEARNING_RATE * (1 - self.failure_share)
         if self._is_failing:
             self._back_off(now, INITIAL_BACKOFF_S)
 
     def record_unreachable(self, now: float) -> None:
         """Record that the target was unreachable and back off."""
-        self.failing += FAILURE_LEARNING_RATE * (1 - self.failing)
+        self.failure_share += FAILURE_LEARNING_RATE * (1 - self.failure_share)
         self._back_off(now, INITIAL_BACKOFF_S)
 
     def record_rejection(self, now: float) -> None:
@@ -222,13 +226,13 @@
 
     @property
     def _is_failing(self) -> bool:
-        return self.failing >= MAX_FAILURE_SHARE
+        return self.failure_share >= MAX_FAILURE_SHARE
 
     def _back_off(self, now: float, initial: float) -> None:
         if self.usable(now):
-            backoff = initial * 2 ** min(8, self.rests)
-            self.rests += 1
-            self.rest_until = now + min(MAX_BACKOFF_S, backoff)
+            backoff = initial * 2 ** min(8, self.backoffs)
+            self.backoffs += 1
+            self.backoff_until = now + min(MAX_BACKOFF_S, backoff)
 
     def summary(self, now: float) -> str:
         """Return the state as a short text for the log."""
@@ -239,6 +243,6 @@
         ]
         if self.leaving:
             parts.append("leaving")
-        if now < self.rest_until:
+        if now < self.backoff_until:
             parts.append("resting")
         return " ".join(parts)
--- a/hibiscusstep/routing/switches.py
+++ b/hibiscusstep/routing/switches.py
@@ -50,7 +50,7 @@
     service_times: bool = True
 
     @classmethod
-    def without(cls, names: str) -> "Switches":
+    def disabling(cls, names: str) -> "Switches":
         """Return the switches with the mechanisms of a comma-separated list disabled.
 
         Raises
--- a/hibiscusstep/routing/target_index.py
+++ b/hibiscusstep/routing/target_index.py
@@ -87,8 +87,8 @@
         self._staying_count += 1
         entry.staying = True
         entry.slots, entry.centre = target.slots, target.data_centre
-        if now < target.rest_until:
-            heapq.heappush(self._backoffs, (target.rest_until, entry.number))
+        if now < target.backoff_until:
+            heapq.heappush(self._backoffs, (target.backoff_until, entry.number))
             return
         entry.fit = True
         self._healthy_count += 1
--- a/hibiscusstep/routing/target_selector.py
+++ b/hibiscusstep/routing/target_selector.py
@@ -80,22 +80,24 @@
 
     def estimates(self, slowness: dict[str, float]) -> m.LearnedEstimates:
         """Return the estimates for the pool, with the slowness of its targets."""
-        share = self._prefill_chunk.most
+        share = self._prefill_chunk.max_seconds
         known = share if share != UNKNOWN_CHUNK_S else 0.0
-        return m.LearnedEstimates(slowness, self._model.first, self._model.token, known)
+        return m.LearnedEstimates(
+            slowness, self._model.base_seconds, self._model.seconds_per_token, known
+        )
 
     def import_estimates(self, imported: m.LearnedEstimates) -> None:
         """Use another dispatcher's estimates where there are no observations."""
-        if imported.token and not self._model.learnt:
+        if imported.token and not self._model.observations:
             self._model.reset(imported.first, imported.token)
-        if imported.share and self._prefill_chunk.most == UNKNOWN_CHUNK_S:
-            self._prefill_chunk.most = imported.share
+        if imported.share and self._prefill_chunk.max_seconds == UNKNOWN_CHUNK_S:
+            self._prefill_chunk.max_seconds = imported.share
 
     def record_first_token(self, target: SlotTarget, run: Run, seconds: float) -> None:
         """Update the estimates by a first token, `seconds` after the dispatch."""
         if not self._is_engine:
             return
-        if not target.learnt:
+        if not target.observations:
             target.observe_first_token(seconds / run.expected_first)
         elif run.alone and self._switches.engine_model:
             self._model.observe(run.work.prompt_tokens, seconds / target.slowness)
@@ -116,7 +118,9 @@
         """Return the estimated time to the first token at slowness 1, in seconds."""
         if not self._is_engine:
             return PLAIN_REQUEST_S
-        return self._model.first + self._model.prefill_seconds(work.prompt_tokens)
+        return self._model.base_seconds + self._model.prefill_seconds(
+            work.prompt_tokens
+        )
 
     def serve_time_bound(self, work: m.Work) -> float:
         """Return the seconds from the start within which most such requests are served.
@@ -132,7 +136,7 @@
     def duration_bound(self, target: SlotTarget, work: m.Work, now: float) -> float:
         """Return the seconds in which four of five such requests end at a target."""
         slowness = target.slowness
-        if not target.learnt:
+        if not target.observations:
             slowness = max(slowness, UNKNOWN_SLOWNESS)
         seconds = self.first_token_seconds(work) + target.remaining_prefill(now)
         if self._is_engine:
@@ -187,7 +191,7 @@
         """Return the costs of some available targets, for the log."""
         own = self.service_seconds(work)
         return {
-            t.name: round(self._price(t, work, own, now), 3)
+            t.name: round(self._weighted_cost(t, work, own, now), 3)
             for t in free[:MAX_LOGGED_COSTS]
         }
 
@@ -197,7 +201,7 @@
         others = [target for target in free if target.name not in work.avoid] or free
         if not self._is_engine:
             return min(others, key=lambda t: t.cost(own))
-        best = min(others, key=lambda t: self._price(t, work, own, now))
+        best = min(others, key=lambda t: self._weighted_cost(t, work, own, now))
         overdue = not work.due and now >= work.deadline
         if overdue or self._serves_in_time([best], work, now):
             return best
@@ -222,7 +226,7 @@
         ]
         if unaffected:
             own = self.service_seconds(work)
-            return min(unaffected, key=lambda t: self._price(t, work, own, now))
+            return min(unaffected, key=lambda t: self._weighted_cost(t, work, own, now))
         # If even the fastest target would delay its streams, waiting does not help.
         pause = self.min_slowness * self._pause_seconds(prefill)
         return None if pause <= MAX_PAUSE_SHARE * self._max_pause else best
@@ -235,7 +239,7 @@
         values that do not depend on the target are computed before the loop.
         """
         prefill = self._model.prefill_seconds(work.prompt_tokens)
-        until_first_token = prefill + self._model.first
+        until_first_token = prefill + self._model.base_seconds
         due = work.due or math.inf
         ends, decoding = math.inf, 0.0
         if work.ends and self._switches.answer_end:
@@ -245,7 +249,7 @@
             )
         steps, max_prefill = (
             self._tokens_per_event * ENGINE_STEP_S,
-            self._prefill_chunk.most,
+            self._prefill_chunk.max_seconds,
         )
         pause_limit = MAX_PAUSE_SHARE * self._max_pause
         for target in targets:
@@ -268,7 +272,9 @@
         steps = self._tokens_per_event * ENGINE_STEP_S
         return steps + self._prefill_chunk.between_events(prefill_seconds)
 
-    def _price(self, target: SlotTarget, work: m.Work, own: float, now: float) -> float:
+    def _weighted_cost(
+        self, target: SlotTarget, work: m.Work, own: float, now: float
+    ) -> float:
         """Return the cost of a request at a target, with its effect on others."""
         prefill_seconds = target.remaining_prefill(now) + self._model.prefill_seconds(
             work.prompt_tokens
@@ -278,7 +284,9 @@
             price += REMOTE_COST_S
         if work.due:
             late = (
-                now + target.slowness * (prefill_seconds + self._model.first) - work.due
+                now
+                + target.slowness * (prefill_seconds + self._model.base_seconds)
+                - work.due
             )
             if late > 0:
                 price += LATENESS_WEIGHT * late
--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -39,7 +39,7 @@
         model = EngineModel()
         for _ in range(500):
             model.observe(1000, 0.05)
-        assert model.first + model.prefill_seconds(1000) == pytest.approx(
+        assert model.base_seconds + model.prefill_seconds(1000) == pytest.approx(
             0.05, rel=0.05
         )
 
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -8,7 +8,7 @@
 
 def _read(status=200, **fields):
     headers = CIMultiDict({name.replace("_", "-"): v for name, v in fields.items()})
-    return PlatformDialect().read_answer(status, headers)
+    return PlatformDialect().read_response(status, headers)
 
 
 class TestLeaving:
--- a/tests/test_pool_emulator.py
+++ b/tests/test_pool_emulator.py
@@ -71,13 +71,13 @@
         Three seeds gave goodputs of 0.825 with it and 0.795 without.
         """
         burst = _unlike(bursts=(BURST,))
-        off = Switches.without("late_last")
+        off = Switches.disabling("late_last")
         assert _mean(burst) > _mean(burst, off) + 0.015
 
     def test_a_burst_with_engines_that_read_faster_than_the_first_guess(self):
         """Three seeds gave goodputs of 0.825 with what is learnt, 0.809 without."""
         burst = _unlike(bursts=(BURST,))
-        off = Switches.without("engine_model")
+        off = Switches.disabling("engine_model")
         assert _mean(burst) > _mean(burst, off)
 
 
@@ -168,7 +168,7 @@
     def test_what_the_dead_hold_is_asked_for(self):
         """Four seeds gave 0.77 of what is owed with it, 0.67 without, 0.89 with no
         instance lost."""
-        off = Switches.without("ask_overdue")
+        off = Switches.disabling("ask_overdue")
         gains = [
             self._share_after(ALL_ENABLED, seed) - self._share_after(off, seed)
             for seed in (1, 2, 3, 4)
@@ -206,4 +206,4 @@
     def test_instances_that_are_alone_use_different_targets(self):
         """Two seeds gave 0.98 with it, 0.49 without."""
         assert self._share_after(ALL_ENABLED) > 0.95
-        assert self._share_after(Switches.without("spread_alone")) < 0.6
+        assert self._share_after(Switches.disabling("spread_alone")) < 0.6
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -15,10 +15,10 @@
         first_attempts = retries = 0
         for is_first in steps:
             if is_first:
-                budget.first_try()
+                budget.record_request()
                 first_attempts += 1
             else:
-                retries += budget.take()
+                retries += budget.try_acquire()
             assert retries <= share * first_attempts + 5.0 + 1e-6
 
     async def test_reports_a_failure_without_budget(self, tmp_path):
--- a/tests/test_saturated_plain_service.py
+++ b/tests/test_saturated_plain_service.py
@@ -105,7 +105,7 @@
 class TestSaturatedPlainService:
     @pytest.mark.parametrize("seed", [1, 2, 3])
     def test_fewer_answers_are_late_and_more_in_time(self, seed):
-        mean_only = Switches.without("service_times")
+        mean_only = Switches.disabling("service_times")
         before = SaturatedService(seed, mean_only).run()
         after = SaturatedService(seed).run()
         assert after.counts["late"] < before.counts["late"]
--- a/tests/test_short_requests_in_overload.py
+++ b/tests/test_short_requests_in_overload.py
@@ -29,7 +29,7 @@
         return [sum(run.share_served(r) for run in runs) / 3 for r in range(3)]
 
     def test_serves_two_more_for_each_long_one_refused(self):
-        before = self._shares(Switches.without("short_ranks"))
+        before = self._shares(Switches.disabling("short_ranks"))
         after = self._shares(ALL_ENABLED)
         pairs = zip(KINDS, before, after, strict=True)
         gained = [kind.rate * (new - old) for kind, old, new in pairs]
--- a/tests/test_slot_dispatcher.py
+++ b/tests/test_slot_dispatcher.py
@@ -50,7 +50,7 @@
 
     def test_grants_no_more_than_its_share_of_all_slots(self):
         dispatcher = _dispatcher((4, 4))
-        dispatcher.share = 0.25
+        dispatcher.capacity_share = 0.25
         for n in range(3):
             dispatcher.handle(m.RequestGrant(_work(f"a{n}")), 0.0)
         assert dispatcher.waiting == {"0": 1}
@@ -319,7 +319,7 @@
         assert dispatcher.summary(0.0)["granted"] == {"0": 0.08, "2": 0.0}
 
     def test_receives_almost_nothing_without_the_rank_floor(self):
-        ranks = self._overloaded(Switches.without("rank_floor"))
+        ranks = self._overloaded(Switches.disabling("rank_floor"))
         assert ranks.count(2) / len(ranks) < 0.05
 
     def test_overload_of_a_higher_rank_is_detected_behind_it(self):
@@ -333,7 +333,7 @@
         dispatcher.handle(m.RequestGrant(_work("last", 2, deadline=90.0)), 0.0)
         refused += dispatcher.handle(m.Tick(), 0.01)
         assert any(isinstance(d, m.Refuse) and d.work.rank == 1 for d in refused)
-        assert dispatcher.is_waiting("last")
+        assert dispatcher.is_undecided("last")
 
 
 class TestRefusing:
@@ -380,7 +380,7 @@
         first, second = _dispatcher((4, 4)), _dispatcher((4, 4))
         first.handle(m.RequestGrant(_work("a")), 0.0)
         first.handle(m.Finished("a", m.GrantOutcome.DONE, 50, 5.0), 5.0)
-        second.handle(first.learnt, 6.0)
+        second.handle(first.learned_estimates, 6.0)
         assert second.targets["t0"].slowness == first.targets["t0"].slowness > 5
         assert _grants(second.handle(m.RequestGrant(_work("b")), 7.0)) == {"b": "t1"}
 
--- a/tests/test_target_index.py
+++ b/tests/test_target_index.py
@@ -47,7 +47,7 @@
         case "grow":
             target.slots = number % 4
         case "foreign":
-            target.foreign, target.foreign_at = number % 3, now
+            target.external_requests, target.external_reported_at = number % 3, now
 
 
 _STEPS = st.sampled_from(
@@ -131,13 +131,13 @@
         for n in range(targets - 1 if full else targets // 2):
             dispatcher.handle(self._ask(f"a{n}"), 0.0)
         evaluated = []
-        price = TargetSelector._price
+        weighted_cost = TargetSelector._weighted_cost
 
         def count(choice, target, *rest):
             evaluated.append(target)
-            return price(choice, target, *rest)
+            return weighted_cost(choice, target, *rest)
 
-        monkeypatch.setattr(TargetSelector, "_price", count)
+        monkeypatch.setattr(TargetSelector, "_weighted_cost", count)
         assert dispatcher.handle(self._ask("last"), 0.0)
         monkeypatch.undo()
         return len(evaluated)
--- a/tests/test_target_subset.py
+++ b/tests/test_target_subset.py
@@ -52,8 +52,8 @@
     def _granted(self, instance, asks=1):
         targets = {f"t{n}": PlannedTarget(5) for n in range(30)}
         plan = DispatchPlan({"p": PlannedPool(True, targets=targets)})
-        dispatcher = SlotDispatcher("p", plan, alone=instance)
-        dispatcher.share = 2 / 100
+        dispatcher = SlotDispatcher("p", plan, standalone_instance=instance)
+        dispatcher.capacity_share = 2 / 100
         slowness = {name: SLOWNESS[n % 3] for n, name in enumerate(targets)}
         dispatcher.handle(m.LearnedEstimates(slowness, old=True), 0.0)
         dispatcher.handle(m.Recovered(), 0.0)
--- a/tests/test_windowed_retry_budget.py
+++ b/tests/test_windowed_retry_budget.py
@@ -32,9 +32,9 @@
         for _ in range(round(seconds * 10)):
             for number in range(self.requests_per_step):
                 budget = list(self.budgets.values())[number % len(self.budgets)]
-                budget.first_try("p", self.now)
+                budget.record_request("p", self.now)
                 self.requests.append(self.now)
-                while failing and budget.take("p", self.now):
+                while failing and budget.try_acquire("p", self.now):
                     self.retries.append(self.now)
             self.now += 0.1
 
