--- a/hibiscusstep/forwarding/caller_frontend.py
+++ b/hibiscusstep/forwarding/caller_frontend.py
@@ -137,7 +137,7 @@
             route = self._find_route(request)
             customer = self._find_customer(route, head.key)
             body = await self._read_body(request)
-            claim = await self._claim_quota(customer, head)
+            quota_request = await self._request_quota(customer, head)
         except _RequestRejected as rejected:
             return self._reject(request, head.request, rejected)
         pool = route.choose_pool()
@@ -149,13 +149,13 @@
             pool,
             customer,
             received,
-            claim,
+            quota_request,
         )
         try:
             return await Exchange(incoming, self._context).run()
         finally:
-            if claim:
-                claim.release()
+            if quota_request:
+                quota_request.release()
 
     def _find_route(self, request: web.Request) -> ForwardRoute:
         if self._table is None:
@@ -181,20 +181,20 @@
             raise _RequestRejected(401, "unknown customer key")
         return customer
 
-    async def _claim_quota(
+    async def _request_quota(
         self, customer: CustomerRule | None, head
     ) -> QuotaRequest | None:
         if customer is None:
             return None
-        if customer.quota.rate and not self._quotas.informed:
-            await _wait_for_startup(self._quotas.wait_informed(), head.patience)
+        if customer.quota.rate and not self._quotas.history_known:
+            await _wait_for_startup(self._quotas.wait_history_known(), head.patience)
         tokens = head.prompt_tokens + head.output_tokens
         if not head.counted:
             tokens = customer.quota.plain_tokens
-        claim = QuotaRequest(self._quotas, customer, tokens, head.request)
-        if not claim.fits():
+        quota_request = QuotaRequest(self._quotas, customer, tokens, head.request)
+        if not quota_request.fits():
             raise _RequestRejected(429, "customer quota exceeded", QUOTA_RETRY_S)
-        return claim
+        return quota_request
 
     async def _read_body(self, request: web.Request) -> bytes:
         limits = self.limits
--- a/hibiscusstep/forwarding/catalog.py
+++ b/hibiscusstep/forwarding/catalog.py
@@ -238,7 +238,7 @@
     def _record_answer(self, feed: Feed) -> None:
         self._answered_at[feed.name] = asyncio.get_running_loop().time()
 
-    def age(self) -> float:
+    def seconds_since_answer(self) -> float:
         """Return the seconds since the store last answered for both feeds."""
         if len(self._answered_at) < len(self._feeds):
             return float("inf")
--- a/hibiscusstep/forwarding/connections.py
+++ b/hibiscusstep/forwarding/connections.py
@@ -218,7 +218,7 @@
         self._in_use[name].add(connection)
         return connection
 
-    async def is_refused(self, name: str, address: str) -> bool:
+    async def probe_refused(self, name: str, address: str) -> bool:
         """Probe whether a target's address refuses connections.
 
         A successful connection is kept as idle. Returns False if the result is unknown,
--- a/hibiscusstep/forwarding/crash_detector.py
+++ b/hibiscusstep/forwarding/crash_detector.py
@@ -98,7 +98,7 @@
     async def _check_target(
         self, target: DiscoveredTarget, check: _TargetCheck
     ) -> None:
-        refused = await self._connections.is_refused(target.name, target.address)
+        refused = await self._connections.probe_refused(target.name, target.address)
         if not refused:
             del self._checks[target.name]
             return
--- a/hibiscusstep/forwarding/exchange.py
+++ b/hibiscusstep/forwarding/exchange.py
@@ -79,8 +79,8 @@
         self._last_failure_response: web.Response | None = None
         self._timing = StreamTiming(incoming.received)
         self._response_head: TargetResponseHead | None = None
-        self._standing = QuarantineStatus(incoming, context.quarantine)
-        self._grants = GrantClient(incoming, context, self._standing)
+        self._quarantine_status = QuarantineStatus(incoming, context.quarantine)
+        self._grants = GrantClient(incoming, context, self._quarantine_status)
 
     async def run(self) -> web.StreamResponse:
         """Return the response; a stream's has been sent already."""
@@ -150,7 +150,7 @@
             if failure is None and _is_target_failure(target_response.message.code):
                 outcome = m.GrantOutcome.FAILED
             elif failure is None:
-                self._standing.answered()
+                self._quarantine_status.clear_request()
             if failure is _AttemptFailure.NOT_RUN:
                 self._may_have_run = may_have_run_earlier
                 if response_head.misdirected:
@@ -162,7 +162,7 @@
                 outcome = m.GrantOutcome.UNREACHABLE
                 return _AttemptFailure.NOT_SENT
             outcome = m.GrantOutcome.BROKEN
-            self._standing.broke(
+            self._quarantine_status.record_interruption(
                 target, self._grants.granted_at, not self._timing.events
             )
             return _AttemptFailure.BROKEN
@@ -212,10 +212,12 @@
             longest_pause=round(self._timing.longest_pause, 4),
             tokens=self._incoming.head.prompt_tokens,
             customer=self._incoming.customer.name if self._incoming.customer else "",
-            counted=self._incoming.claim.tokens if self._incoming.claim else 0,
+            counted=self._incoming.quota_request.tokens
+            if self._incoming.quota_request
+            else 0,
             target_revision=target.revision,
             version=target.version,
-            fingerprint=self._standing.fingerprint if broken else "",
+            fingerprint=self._quarantine_status.fingerprint if broken else "",
             says_it_leaves=self._response_head is not None
             and self._response_head.leaving,
             stay_away=self._response_head.stay_away if self._response_head else 0.0,
@@ -235,8 +237,8 @@
             self._splitter.last_id,
         )
         fields = dialect.target_request_fields(incoming.request.raw_headers, order)
-        if incoming.claim:
-            incoming.claim.use()
+        if incoming.quota_request:
+            incoming.quota_request.commit()
         connection.begin()
         connection.write(_serialize_request(incoming, fields))
         self._may_have_run = True
@@ -252,7 +254,7 @@
                     self._response_head = response_head
                     self._report_load(target, response_head)
                     if response_head.stay_away:
-                        self._context.rests.rest(
+                        self._context.rests.back_off(
                             target.name, response_head.stay_away, self._now()
                         )
                     return target_response, response_head
@@ -412,7 +414,7 @@
             return False
         if self._response is not None and route.repeat is not RetryMode.RESUME:
             return False
-        if failure is _AttemptFailure.BROKEN and not self._standing.may_be_repeated:
+        if failure is _AttemptFailure.BROKEN and not self._quarantine_status.may_retry:
             return False
         self._splitter.drop_remainder()
         return self._context.retries.try_acquire(self._incoming.pool, self._now())
--- a/hibiscusstep/forwarding/grant_client.py
+++ b/hibiscusstep/forwarding/grant_client.py
@@ -58,7 +58,7 @@
         The request.
     context : ForwardingContext
         Services shared by all exchanges.
-    standing : QuarantineStatus
+    quarantine_status : QuarantineStatus
         Quarantine state of the request.
 
     Attributes
@@ -71,11 +71,11 @@
         self,
         incoming: IncomingRequest,
         context: ForwardingContext,
-        standing: QuarantineStatus,
+        quarantine_status: QuarantineStatus,
     ) -> None:
         self._incoming = incoming
         self._context = context
-        self._standing = standing
+        self._quarantine_status = quarantine_status
         self._avoid: list[str] = []
         self._is_retry = False
         self._grant: Granted | None = None
@@ -96,14 +96,14 @@
         """
         self._is_retry = is_retry
         while True:
-            if self._standing.is_quarantined:
+            if self._quarantine_status.is_quarantined:
                 return self._quarantine_refusal()
             if seconds := await self._wait_for_rested_target():
                 return Refusal(seconds, "all targets asked this instance to back off")
             reply = await self._request_grant()
             if isinstance(reply, Refused):
                 return Refusal(reply.retry_after, str(reply.reason))
-            if self._standing.is_quarantined:
+            if self._quarantine_status.is_quarantined:
                 # Other attempts at this request crashed targets during the wait.
                 self.release_grant(m.GrantOutcome.UNUSED)
                 return self._quarantine_refusal()
@@ -119,7 +119,10 @@
                 continue
             if not self._accepts_work(target):
                 continue
-            if self._incoming.claim and not self._incoming.claim.take():
+            if (
+                self._incoming.quota_request
+                and not self._incoming.quota_request.reserve()
+            ):
                 self.release_grant(m.GrantOutcome.UNUSED)
                 return Refusal(QUOTA_RETRY_S, "customer quota exceeded", 429)
             return target
@@ -130,7 +133,7 @@
             self.release_grant(m.GrantOutcome.LEAVING)
             self._avoid.append(target.name)
             return False
-        if self._context.rests.is_resting(target.name, self._now()):
+        if self._context.rests.is_backing_off(target.name, self._now()):
             self.release_grant(m.GrantOutcome.UNUSED)
             return False
         return True
@@ -152,14 +155,14 @@
             deadline; else 0.
         """
         context, now = self._context, self._now()
-        if not context.rests.resting(now):
+        if not context.rests.names_backing_off(now):
             return 0.0
         names = [
             name
             for name, target in context.targets.items()
             if target.pool == self._incoming.pool and not target.leaving
         ]
-        seconds = context.rests.until_any(names, now)
+        seconds = context.rests.seconds_until_any(names, now)
         if now + seconds > self._grant_deadline:
             return seconds
         await asyncio.sleep(seconds)
@@ -186,8 +189,8 @@
             list(self._avoid),
             data_centre=self._context.data_centre,
             identity=incoming.identity,
-            suspect=self._standing.suspect,
-            resting=self._context.rests.resting(self._now()),
+            suspect=self._quarantine_status.suspect,
+            resting=self._context.rests.names_backing_off(self._now()),
             route=incoming.route.name,
         )
         wanted = GrantRequest(
@@ -212,8 +215,12 @@
 
     def _quarantine_refusal(self) -> Refusal:
         """Return a refusal with the cause and the remaining time of the quarantine."""
-        standing = self._standing
-        return Refusal(standing.expires_in, "quarantined", problem=standing.problem)
+        quarantine_status = self._quarantine_status
+        return Refusal(
+            quarantine_status.expires_in,
+            "quarantined",
+            problem=quarantine_status.problem,
+        )
 
     def report_first_event(self) -> None:
         """Report the first event of the response to the dispatcher."""
--- a/hibiscusstep/forwarding/ignored_objects.py
+++ b/hibiscusstep/forwarding/ignored_objects.py
@@ -16,7 +16,7 @@
         self._revisions: dict[str, int] = {}
         self.count = 0
 
-    def is_new(self, name: str, revision: int) -> bool:
+    def record(self, name: str, revision: int) -> bool:
         """Record an ignored object and return whether this revision is new."""
         if self._revisions.get(name) == revision:
             return False
--- a/hibiscusstep/forwarding/incoming_request.py
+++ b/hibiscusstep/forwarding/incoming_request.py
@@ -44,8 +44,8 @@
         The authenticated customer; None if the request needs no key.
     received : float
         Time of receipt of its head, in seconds on the loop's clock.
-    claim : QuotaRequest or None
-        Its claim on the customer's quota.
+    quota_request : QuotaRequest or None
+        Its request for tokens of the customer's quota.
     """
 
     request: web.Request
@@ -55,7 +55,7 @@
     pool: str
     customer: CustomerRule | None
     received: float
-    claim: QuotaRequest | None = None
+    quota_request: QuotaRequest | None = None
 
     @property
     def due(self) -> float:
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -287,7 +287,7 @@
             self._on_targets,
             lambda name: self._connections.close_all(name),
         )
-        self._spread = StateDistributor(
+        self._distributor = StateDistributor(
             incarnation,
             address,
             settings.data_centre,
@@ -398,7 +398,7 @@
             return
         match message.message:
             case ConfigurationAsk():
-                self._spread.hand_table_to(message.sender)
+                self._distributor.send_table(message.sender)
             case ConfigurationReply(value=value):
                 self._apply_peer_configuration(value)
             case TargetStates() as states:
@@ -420,7 +420,7 @@
         ):
             worker.tell(changed)
         self._choose_target_source()
-        self._spread.take_view(changed.view)
+        self._distributor.apply_view(changed.view)
 
     def _choose_target_source(self) -> None:
         """Follow the store, unless a relay does so for this instance."""
@@ -435,7 +435,7 @@
 
     def _on_table(self, table: RoutingTable) -> None:
         self._table = table
-        self._spread.table = table
+        self._distributor.table = table
         self._frontend.set_table(table)
         self._quotas.tell(CustomersChanged(table.customers))
         self._publish_plan()
@@ -456,7 +456,7 @@
         if self._catalog.revision:
             self._rollouts.tell(TargetsChanged(tuple(targets.values())))
         self._publish_plan()
-        self._spread.tell_changes(changes)
+        self._distributor.send_changes(changes)
 
     def _publish_plan(self) -> None:
         """Send the current plan to the dispatchers."""
@@ -473,9 +473,13 @@
     def _planned_versions(
         self, pool: str, present_versions: set[str]
     ) -> PlannedVersions:
-        book, keeper = self._rollouts.book, self._rollouts
-        planned = book.planned(pool, self.bounds.exposure, keeper.lead)
-        return PlannedVersions(book.serving(pool, present_versions), planned)
+        version_table, coordinator = self._rollouts.version_table, self._rollouts
+        planned = version_table.planned_rollout(
+            pool, self.bounds.exposure, coordinator.completion_lead_s
+        )
+        return PlannedVersions(
+            version_table.serving_versions(pool, present_versions), planned
+        )
 
     def _apply_peer_configuration(self, value: bytes) -> None:
         try:
@@ -511,9 +515,9 @@
             self._connections.sweep()
             self._record_suspension(suspensions.check())
             self._choose_target_source()
-            self._spread.ask_for_newer_table()
+            self._distributor.request_newer_table()
             if sweep_number % SWEEPS_PER_TARGET_RESEND == 0:
-                self._spread.tell_followers_all_targets()
+                self._distributor.send_all_targets_to_followers()
             if self._uptime() >= ELIGIBLE_AFTER_S and not eligible and self.ready:
                 eligible = True
                 self._membership.tell(OwnState(ready=True))
@@ -562,8 +566,8 @@
         metrics.set_gauge("silent_members", self._view.silent)
         metrics.set_gauge("connections_opened", self._connections.opened)
         metrics.set_gauge("log_lines_dropped", dropped_lines())
-        metrics.set_gauge("requests_suspected", self._quarantine.suspected)
-        metrics.set_gauge("requests_quarantined", self._quarantine.quarantined)
+        metrics.set_gauge("requests_suspected", self._quarantine.suspected_count)
+        metrics.set_gauge("requests_quarantined", self._quarantine.quarantined_count)
         for pool, count in self._dispatching.overdue.items():
             metrics.set_gauge("slots_overdue", count, pool=pool)
         for pool, state in self._dispatching.rollouts.items():
@@ -572,7 +576,7 @@
                 metrics.set_gauge(f"rollout_{name}", state[name], **labels)
         left_out = self._environment.targets.left_out + self._planner.ignored_targets
         metrics.set_gauge("target_entries_left_out", left_out)
-        metrics.set_gauge("table_age_seconds", self._catalog.age())
+        metrics.set_gauge("table_age_seconds", self._catalog.seconds_since_answer())
         states = Counter(
             (target.pool, "leaving" if target.leaving else "ready")
             for target in self._targets.values()
--- a/hibiscusstep/forwarding/planning.py
+++ b/hibiscusstep/forwarding/planning.py
@@ -72,7 +72,7 @@
         return DispatchPlan(pools)
 
     def _ignore(self, target: DiscoveredTarget) -> None:
-        if not self._ignored.is_new(target.name, target.revision):
+        if not self._ignored.record(target.name, target.revision):
             return
         _LOG.error(
             "target of an unknown pool ignored",
--- a/hibiscusstep/forwarding/pool_versions.py
+++ b/hibiscusstep/forwarding/pool_versions.py
@@ -208,7 +208,7 @@
             oldest = min(others, key=lambda v: (others[v].began, -others[v].slots, v))
             self._set_serving(entry, frozenset({oldest}), now)
 
-    def serving(self, pool: str, seen: Iterable[str] = ()) -> frozenset[str]:
+    def serving_versions(self, pool: str, seen: Iterable[str] = ()) -> frozenset[str]:
         """Return the versions of a pool that may serve; empty if all may.
 
         Parameters
@@ -227,14 +227,16 @@
     def barred_versions(self, pool: str) -> frozenset[str]:
         """Return the versions of a pool that are neither current nor ordered."""
         entry = self._pools[pool]
-        allowed = self.serving(pool) | {entry.order.version if entry.order else ""}
+        allowed = self.serving_versions(pool) | {
+            entry.order.version if entry.order else ""
+        }
         return (
             frozenset(self._discovered.get(pool, ())) - allowed
             if entry.serving
             else frozenset()
         )
 
-    def planned(
+    def planned_rollout(
         self, pool: str, limits: ExposureLimits, lead: float
     ) -> PlannedRollout | None:
         """Return the order that a pool's dispatcher is to carry out.
--- a/hibiscusstep/forwarding/quarantine.py
+++ b/hibiscusstep/forwarding/quarantine.py
@@ -75,12 +75,12 @@
         return not len(self._table)
 
     @property
-    def suspected(self) -> int:
+    def suspected_count(self) -> int:
         """Number of requests with at least one crash counted against them."""
         return len(self._table.suspected)
 
     @property
-    def quarantined(self) -> int:
+    def quarantined_count(self) -> int:
         """Number of quarantined requests."""
         return len(self._table.quarantined)
 
--- a/hibiscusstep/forwarding/quarantine_status.py
+++ b/hibiscusstep/forwarding/quarantine_status.py
@@ -55,7 +55,7 @@
         return self._fingerprint
 
     @property
-    def may_be_repeated(self) -> bool:
+    def may_retry(self) -> bool:
         """Whether the request may be retried on another target."""
         quarantine = self._quarantine
         return quarantine.is_empty or quarantine.may_retry(self._fingerprint)
@@ -70,12 +70,14 @@
         """Problem fields of the answer that refuses a quarantined request."""
         return {"title": _TITLE, "detail": _DETAIL, "fingerprint": self.fingerprint}
 
-    def answered(self) -> None:
+    def clear_request(self) -> None:
         """Clear the request: a target completed its answer without crashing."""
         if not self._quarantine.is_empty:
             self._quarantine.clear_request(self._fingerprint)
 
-    def broke(self, target: DiscoveredTarget, began: float, early: bool) -> None:
+    def record_interruption(
+        self, target: DiscoveredTarget, began: float, early: bool
+    ) -> None:
         """Have the quarantine check whether a target crashed."""
         request = self._incoming.head.request
         attempt = InterruptedAttempt(request, self._fingerprint, began, early)
--- a/hibiscusstep/forwarding/quota.py
+++ b/hibiscusstep/forwarding/quota.py
@@ -92,8 +92,8 @@
         self._use_store = use_store
         now = asyncio.get_running_loop().time()
         self._ledger = UsageLedger(incarnation, bounds.quota_window, now)
-        self._reach = Reachability(now)
-        self._limit = QuotaLimit(bounds, self._ledger, self._reach)
+        self._reachability = Reachability(now)
+        self._limit = QuotaLimit(bounds, self._ledger, self._reachability)
         self._planner = SavedUsagePlanner()
         self._view = View()
         self._rules: dict[str, CustomerRule] = {}
@@ -120,11 +120,11 @@
         self._limit.bounds = bounds
 
     @property
-    def informed(self) -> bool:
+    def history_known(self) -> bool:
         """Whether usage before the start is known, from peers or from the store."""
         return self._history_known.is_set()
 
-    async def wait_informed(self) -> None:
+    async def wait_history_known(self) -> None:
         """Wait until usage before the start is known."""
         await self._history_known.wait()
 
@@ -132,7 +132,7 @@
         """Process a tick, a membership view, or usage from a peer or the store."""
         now = asyncio.get_running_loop().time()
         self._process(message, now)
-        if not self.informed and self._ledger.knows_history(now):
+        if not self.history_known and self._ledger.knows_history(now):
             self._history_known.set()
 
     def _process(self, message, now: float) -> None:
@@ -185,7 +185,7 @@
             self._ledger.detach_sent(self._sent_totals)
             self._answered.clear()
             self._query(view.parent)
-        self._reach.take_view(view, now)
+        self._reachability.apply_view(view, now)
         self._neighbours = view.neighbours(self._address)
         for address in set(self._neighbours) - known:
             self._send_history(address, now)
@@ -227,7 +227,10 @@
         if scope:
             follower = self._followers.get(address, "")
             history = self._ledger.make_history(scope, now, follower)
-            history.instances = self._reach.alive + self._reach.silent(now)
+            history.instances = (
+                self._reachability.alive_count
+                + self._reachability.unreachable_count(now)
+            )
             self._links.tell(Send(address, history))
 
     def _scope_for(self, address: str) -> str:
@@ -248,7 +251,7 @@
         self._answered.add(sender)
         older = history.age > self._ledger.age(now)
         if older and not self._ledger.knows_window(now):
-            self._reach.take_told(history.instances, now)
+            self._reachability.apply_reported_count(history.instances, now)
         if self._view.parent:
             self._process_relay(history.usages[0].incarnation)
         previous = self._ledger.known_for(now)
@@ -328,7 +331,7 @@
             "known_for": round(ledger.known_for(now), 1),
             "kept_known": ledger.listed is not None,
             "instances": self._view.size,
-            "silent": self._reach.silent(now),
+            "silent": self._reachability.unreachable_count(now),
         }
 
     def settle(self, name: str, tokens: int, used: bool) -> None:
@@ -357,7 +360,7 @@
         used_unsent = ledger.group_totals[name] - self._sent_totals.get(name, 0)
         unsent = used_unsent + self._pending[name]
         recent = ledger.recent_others_usage(name, now)
-        instance_count = self._reach.likely_size
+        instance_count = self._reachability.likely_size
         if instance_count == 1:
             return True
         others = ledger.others_usage(name, now)
@@ -402,7 +405,7 @@
             return
         if not self._view.has_duty("customers' use", self._address):
             return
-        if self._reach.alive < self._reach.silent(now):
+        if self._reachability.alive_count < self._reachability.unreachable_count(now):
             # There is one document; the larger side of a partition writes it.
             return
         limits = {
--- a/hibiscusstep/forwarding/quota_limit.py
+++ b/hibiscusstep/forwarding/quota_limit.py
@@ -28,16 +28,16 @@
         Window and allowed overage.
     ledger : UsageLedger
         Known token usage of customers.
-    reach : Reachability
+    reachability : Reachability
         Counts of reachable and unreachable instances.
     """
 
     def __init__(
-        self, bounds: Bounds, ledger: UsageLedger, reach: Reachability
+        self, bounds: Bounds, ledger: UsageLedger, reachability: Reachability
     ) -> None:
         self.bounds = bounds
         self._ledger = ledger
-        self._reach = reach
+        self._reachability = reachability
 
     def full_limit(self, customer: CustomerRule) -> float:
         """Return the limit per window if all usage in the window is known."""
@@ -51,8 +51,10 @@
             if window_known
             else self._limit_with_unknown_history(customer)
         )
-        reachable = self._reach.alive
-        return limit * reachable / (reachable + self._reach.silent(now))
+        reachable = self._reachability.alive_count
+        return (
+            limit * reachable / (reachable + self._reachability.unreachable_count(now))
+        )
 
     def _limit_with_unknown_history(self, customer: CustomerRule) -> float:
         """Return the limit that is safe whatever was used before the start.
@@ -85,4 +87,6 @@
 
     @property
     def _granted_overage(self) -> float:
-        return GRANTED_OVERAGE if self._reach.is_mesh else GRANTED_OVERAGE_RELAYED
+        return (
+            GRANTED_OVERAGE if self._reachability.is_mesh else GRANTED_OVERAGE_RELAYED
+        )
--- a/hibiscusstep/forwarding/quota_request.py
+++ b/hibiscusstep/forwarding/quota_request.py
@@ -20,7 +20,7 @@
 
     Parameters
     ----------
-    keeper : QuotaLimiter
+    limiter : QuotaLimiter
         Counts the tokens.
     customer : str
         Name of the customer.
@@ -30,8 +30,8 @@
 
     __slots__ = ("_customer", "_keeper", "_open", "_tokens")
 
-    def __init__(self, keeper: QuotaLimiter, customer: str, tokens: int) -> None:
-        self._keeper = keeper
+    def __init__(self, limiter: QuotaLimiter, customer: str, tokens: int) -> None:
+        self._limiter = limiter
         self._customer = customer
         self._tokens = tokens
         self._open = True
@@ -40,13 +40,13 @@
         """Count the tokens as used, once."""
         if self._open:
             self._open = False
-            self._keeper.settle(self._customer, self._tokens, used=True)
+            self._limiter.settle(self._customer, self._tokens, used=True)
 
     def release(self) -> None:
         """Return the tokens to the quota if they were not used."""
         if self._open:
             self._open = False
-            self._keeper.settle(self._customer, self._tokens, used=False)
+            self._limiter.settle(self._customer, self._tokens, used=False)
 
 
 class QuotaRequest:
@@ -57,7 +57,7 @@
 
     Parameters
     ----------
-    keeper : QuotaLimiter
+    limiter : QuotaLimiter
         Counts the tokens.
     customer : CustomerRule
         The customer.
@@ -70,9 +70,9 @@
     __slots__ = ("_customer", "_keeper", "_request", "_ticket", "_tokens")
 
     def __init__(
-        self, keeper: QuotaLimiter, customer: CustomerRule, tokens: int, request: str
+        self, limiter: QuotaLimiter, customer: CustomerRule, tokens: int, request: str
     ) -> None:
-        self._keeper = keeper
+        self._limiter = limiter
         self._customer = customer
         self._tokens = tokens
         self._request = request
@@ -85,17 +85,17 @@
 
     def fits(self) -> bool:
         """Return whether the tokens are within the quota now."""
-        return self._keeper.fits(self._customer, self._tokens, self._request)
+        return self._limiter.fits(self._customer, self._tokens, self._request)
 
-    def take(self) -> bool:
+    def reserve(self) -> bool:
         """Reserve the tokens unless they already are; return whether they are."""
         if self._ticket is None:
-            self._ticket = self._keeper.reserve(
+            self._ticket = self._limiter.reserve(
                 self._customer, self._tokens, self._request
             )
         return self._ticket is not None
 
-    def use(self) -> None:
+    def commit(self) -> None:
         """Count the tokens as used, once."""
         if self._ticket is not None:
             self._ticket.commit()
--- a/hibiscusstep/forwarding/reachability.py
+++ b/hibiscusstep/forwarding/reachability.py
@@ -37,7 +37,7 @@
         self._reported_by_peer = False
 
     @property
-    def alive(self) -> int:
+    def alive_count(self) -> int:
         """Number of live instances, including this one."""
         return max(1, self._view.size)
 
@@ -52,20 +52,20 @@
         size = self._view.size
         return max(1, size if size > 1 else self._view.likely_size)
 
-    def silent(self, now: float) -> int:
+    def unreachable_count(self, now: float) -> int:
         """Return how many unreachable instances may be alive and use their share."""
         if now - self._started_at < DISCOVERY_S or now >= self._reported_until:
             return self._view.silent
         return max(self._view.silent, self._reported_count - self._view.size)
 
-    def take_view(self, view: View, now: float) -> None:
+    def apply_view(self, view: View, now: float) -> None:
         """Apply a view and the number of instances in the store's list."""
         self._view = view
         if not self._reported_by_peer and view.listed > self._reported_count:
             self._reported_count = view.listed
             self._reported_until = now + STORE_COUNT_LIFETIME_S
 
-    def take_told(self, instances: int, now: float) -> None:
+    def apply_reported_count(self, instances: int, now: float) -> None:
         """Apply an older instance's count of instances that are or may be alive."""
         self._reported_by_peer = True
         self._reported_count = instances
--- a/hibiscusstep/forwarding/rollout_routes.py
+++ b/hibiscusstep/forwarding/rollout_routes.py
@@ -13,7 +13,7 @@
 
 def add_rollout_routes(
     app: web.Application,
-    keeper: RolloutCoordinator,
+    coordinator: RolloutCoordinator,
     local_rollouts: Callable[[], dict[str, dict]],
 ) -> None:
     """Add ``GET /rollouts``: each pool's current versions and its order's progress.
@@ -26,7 +26,7 @@
         states = local_rollouts()
         pools = [
             {**entry, "here": states.get(entry["pool"])}
-            for entry in keeper.pool_summaries()
+            for entry in coordinator.pool_summaries()
         ]
         return web.json_response({"pools": pools})
 
--- a/hibiscusstep/forwarding/rollouts.py
+++ b/hibiscusstep/forwarding/rollouts.py
@@ -106,7 +106,7 @@
 
     Attributes
     ----------
-    book : PoolVersionTable
+    version_table : PoolVersionTable
         Versions and orders of all pools; the plan for the dispatchers is made from it.
     """
 
@@ -136,10 +136,10 @@
         self._restore_settled_at = 0.0
         self._write_retry_at = 0.0
         self._logged_barred: dict[str, frozenset[str]] = {}
-        self.book = PoolVersionTable()
+        self.version_table = PoolVersionTable()
 
     @property
-    def lead(self) -> float:
+    def completion_lead_s(self) -> float:
         """Seconds before a deadline at which a completion has to be written."""
         return min(MAX_LEAD_S, BASE_LEAD_S + LEAD_CALLS * self._call_s)
 
@@ -150,7 +150,7 @@
             {
                 "pool": pool,
                 "serving": sorted(entry.serving),
-                "barred": sorted(self.book.barred_versions(pool)),
+                "barred": sorted(self.version_table.barred_versions(pool)),
                 "order": entry.order.version if entry.order else None,
                 "state": entry.order.state if entry.order else None,
                 "decided": entry.final,
@@ -162,7 +162,9 @@
                 "requests": entry.progress.requests,
                 "exposed": entry.progress.exposed,
             }
-            for pool, entry in ((pool, self.book[pool]) for pool in self.book)
+            for pool, entry in (
+                (pool, self.version_table[pool]) for pool in self.version_table
+            )
         ]
 
     async def stop(self) -> None:
@@ -182,7 +184,7 @@
         now = _now()
         match message:
             case TargetsChanged(targets=targets):
-                if self.book.update_targets(targets, now):
+                if self.version_table.update_targets(targets, now):
                     self._log_barred()
                     self._on_change()
                     self._update_following()
@@ -214,25 +216,25 @@
         if self._era and listed.era > self._era:
             self._restore_settled_at = now + RESTORE_GRACE_S
         self._era = max(self._era, listed.era)
-        for pool in self.book:
+        for pool in self.version_table:
             if pool not in listed.orders and now >= self._restore_settled_at:
                 self._apply_change(pool, None, listed.revision, now)
         for pool, order in listed.orders.items():
             self._apply_change(pool, order, order.revision, now)
-        for pool in self.book.ambiguous_pools():
-            self.book.guess_serving(pool, now)
+        for pool in self.version_table.ambiguous_pools():
+            self.version_table.guess_serving(pool, now)
             self._log_guess(pool)
         self._on_change()
 
     def _apply_change(self, pool: str, order, revision: int, now: float) -> None:
         if order is None:
-            if self.book.withdraw_order(pool, revision):
+            if self.version_table.withdraw_order(pool, revision):
                 decision("rollout-withdrawn", pool=pool, revision=revision)
                 self._publish([pool], now)
             return
-        number = self.book[pool].number
-        if self.book.apply_order(order, now):
-            if self.book[pool].number != number:
+        number = self.version_table[pool].number
+        if self.version_table.apply_order(order, now):
+            if self.version_table[pool].number != number:
                 self._log_order(order)
             self._publish([pool], now)
             self._write_status(pool)
@@ -244,18 +246,18 @@
             version=order.version,
             duration=order.duration,
             state=str(order.state or ""),
-            serving=sorted(self.book[order.pool].serving),
+            serving=sorted(self.version_table[order.pool].serving),
             revision=order.revision,
         )
 
     def _log_guess(self, pool: str) -> None:
-        serving = sorted(self.book[pool].serving)
+        serving = sorted(self.version_table[pool].serving)
         decision("version-guessed", pool=pool, serving=serving)
 
     def _log_barred(self) -> None:
         """Log once which versions of a pool are barred since no order names them."""
-        for pool in self.book:
-            barred = self.book.barred_versions(pool)
+        for pool in self.version_table:
+            barred = self.version_table.barred_versions(pool)
             if barred and self._logged_barred.get(pool) != barred:
                 decision("version-barred", pool=pool, versions=sorted(barred))
             self._logged_barred[pool] = barred
@@ -263,19 +265,21 @@
     def _publish(self, pools: list[str], now: float) -> None:
         """Send the state of pools to the local dispatchers and the other instances."""
         self._on_change()
-        self._send_records(self.book.records(now, pools), self._neighbours.addresses)
+        self._send_records(
+            self.version_table.records(now, pools), self._neighbours.addresses
+        )
 
     # Other instances.
 
     def _merge_records(self, records: list[RolloutRecord], sender: str, now) -> None:
-        changed = [r.pool for r in records if self.book.merge_record(r, now)]
-        running = [r.pool for r in records if self.book[r.pool].is_running]
+        changed = [r.pool for r in records if self.version_table.merge_record(r, now)]
+        running = [r.pool for r in records if self.version_table[r.pool].is_running]
         # An instance that takes an order over needs its progress.
         news = list(dict.fromkeys([*changed, *running]))
         if news:
             self._on_change()
             self._send_records(
-                self.book.records(now, news), self._neighbours.beyond(sender)
+                self.version_table.records(now, news), self._neighbours.beyond(sender)
             )
         for pool in changed:
             self._write_status(pool)
@@ -283,7 +287,7 @@
     def _update_view(self, view: View, now: float) -> None:
         self._view = view
         new = self._neighbours.take_view(view)
-        self._send_records(self.book.records(now), new)
+        self._send_records(self.version_table.records(now), new)
         self._update_following()
 
     def _send_records(
@@ -303,7 +307,7 @@
         chosen = rendezvous(view.eligible, _RENDEZVOUS_KEY, STORE_FOLLOWERS)
         # Until the view is settled, instances read the store only if they have to.
         follows = view.settled and (
-            self._own_name in chosen or any(map(self._dispatches, self.book))
+            self._own_name in chosen or any(map(self._dispatches, self.version_table))
         )
         if follows and self._follow_task is None:
             self._follow_task = asyncio.create_task(self._follow())
@@ -345,21 +349,21 @@
     # The order's status.
 
     def _handle_progress(self, news: RolloutUpdate, now: float) -> None:
-        self.book.set_progress(news.pool, news.number, news.progress)
+        self.version_table.set_progress(news.pool, news.number, news.progress)
         if news.state is None:
             if now >= self._published_at + PUBLISH_INTERVAL_S:
                 self._published_at = now
                 self._publish([news.pool], now)
             self._save_progress(now)
             return
-        if self.book.conclude(news.pool, news.number, news.state):
+        if self.version_table.conclude(news.pool, news.number, news.state):
             self._publish([news.pool], now)
             self._save_progress(now, at_once=True)
             self._write_status(news.pool)
 
     def _write_status(self, pool: str) -> None:
         """Write the status of an order that this instance carries out."""
-        entry = self.book[pool]
+        entry = self.version_table[pool]
         state = entry.state_to_write
         if state is None or _now() < self._write_retry_at:
             return
@@ -391,7 +395,7 @@
             state=str(order.state),
             revision=order.revision,
         )
-        if self.book.apply_order(order, now):
+        if self.version_table.apply_order(order, now):
             self._publish([order.pool], now)
 
     def _handle_failed_write(self, pool: str, is_conflict: bool) -> None:
@@ -399,7 +403,7 @@
         if is_conflict:
             self._start_read()
             return
-        entry = self.book[pool]
+        entry = self.version_table[pool]
         state = entry.state_to_write
         others = self._neighbours.addresses
         if state and others and self._dispatches(pool):
@@ -409,7 +413,7 @@
 
     def _write_for_peer(self, request: RolloutWrite) -> None:
         """Write a status for a dispatcher that cannot reach the store."""
-        order = self.book[request.pool].order
+        order = self.version_table[request.pool].order
         task = self._write_tasks.get(request.pool)
         same = order and (order.revision, order.version) == (
             request.revision,
@@ -430,14 +434,16 @@
     def _save_progress(self, now: float, *, at_once: bool = False) -> None:
         if self._save_task and not self._save_task.done():
             return
-        pools = [pool for pool in self.book.running_pools if self._dispatches(pool)]
+        pools = [
+            pool for pool in self.version_table.running_pools if self._dispatches(pool)
+        ]
         if pools and (at_once or now >= self._saved_at + SAVE_INTERVAL_S):
             self._saved_at = now
             self._save_task = asyncio.create_task(self._write_saved(pools))
 
     async def _write_saved(self, pools: list[str]) -> None:
         for pool in pools:
-            entry = self.book[pool]
+            entry = self.version_table[pool]
             if entry.order is None:
                 continue
             began = time.time() - (_now() - entry.began)
@@ -460,12 +466,14 @@
         self.tell(_SavedRead(pool, reply.unwrap()))
 
     def _restore_saved(self, pool: str, document: dict | None, now: float) -> None:
-        entry = self.book[pool]
+        entry = self.version_table[pool]
         saved = from_document(pool, document)
         if saved is None or not entry.order or saved.version != entry.order.version:
             return
         age = min(max(0.0, time.time() - saved.began), entry.order.duration)
-        self.book.restore_progress(pool, entry.number, age, saved.progress, now)
+        self.version_table.restore_progress(
+            pool, entry.number, age, saved.progress, now
+        )
         exposed = saved.progress.exposed
         decision("rollout-resumed", pool=pool, age=round(age, 2), exposed=exposed)
         self._on_change()
@@ -478,15 +486,15 @@
             # An order that a restored store still lacks was withdrawn.
             self._restore_settled_at = 0.0
             self._start_read()
-        for pool in self.book:
-            entry = self.book[pool]
+        for pool in self.version_table:
+            entry = self.version_table[pool]
             if entry.is_running and not entry.progress.is_known:
                 self._request_saved(pool)
             self._write_status(pool)
 
     def _resolve_ambiguous(self, now: float) -> None:
         """Find which of several versions is current, if no peer has sent it."""
-        ambiguous = self.book.ambiguous_pools()
+        ambiguous = self.version_table.ambiguous_pools()
         if not ambiguous:
             self._ambiguous_since = None
             return
@@ -495,7 +503,7 @@
         self._start_read()
         if now >= self._ambiguous_since + GUESS_AFTER_S:
             for pool in ambiguous:
-                self.book.guess_serving(pool, now)
+                self.version_table.guess_serving(pool, now)
                 self._log_guess(pool)
             self._on_change()
 
--- a/hibiscusstep/forwarding/state_distributor.py
+++ b/hibiscusstep/forwarding/state_distributor.py
@@ -59,7 +59,7 @@
         self._request_again_at = 0.0
         self.table: RoutingTable | None = None
 
-    def take_view(self, view: View) -> None:
+    def apply_view(self, view: View) -> None:
         """Send targets to new members that may lack them; request a newer table."""
         known = {member.incarnation for member in _may_lack_targets(self._view)}
         self._view = view
@@ -67,16 +67,16 @@
             if member.incarnation not in {self._incarnation, *known}:
                 self._send_all_targets(member.peer_address)
         delay = 0.0 if view.parent else REQUEST_DELAY_S
-        asyncio.get_running_loop().call_later(delay, self.ask_for_newer_table)
+        asyncio.get_running_loop().call_later(delay, self.request_newer_table)
 
-    def tell_changes(self, changes: list[Change]) -> None:
+    def send_changes(self, changes: list[Change]) -> None:
         """Send changes of targets to the neighbours."""
         states = [to_target_state(change) for change in changes]
         if states:
             for address in self._view.neighbours(self._address):
                 self._links.tell(Send(address, TargetStates(states)))
 
-    def tell_followers_all_targets(self) -> None:
+    def send_all_targets_to_followers(self) -> None:
         """Send all targets again: a broken connection may have lost a change."""
         for follower in self._view.followers.values():
             self._send_all_targets(follower.peer_address)
@@ -90,13 +90,13 @@
             ]
             self._links.tell(Send(address, TargetStates(states, revision)))
 
-    def hand_table_to(self, address: str) -> None:
+    def send_table(self, address: str) -> None:
         """Send the configuration to an instance that requested it."""
         if self.table is not None:
             reply = ConfigurationReply("", self.table.version, self.table.value)
             self._links.tell(Send(address, reply))
 
-    def ask_for_newer_table(self) -> None:
+    def request_newer_table(self) -> None:
         """Request the configuration if another instance has a newer version."""
         newest = self._choose_source()
         if newest is None:
--- a/hibiscusstep/forwarding/target_backoff.py
+++ b/hibiscusstep/forwarding/target_backoff.py
@@ -14,20 +14,20 @@
     def __init__(self) -> None:
         self._until: dict[str, float] = {}
 
-    def rest(self, name: str, seconds: float, now: float) -> None:
+    def back_off(self, name: str, seconds: float, now: float) -> None:
         """Avoid a target for some seconds, unless a longer time is already set."""
         self._until[name] = max(self._until.get(name, 0.0), now + seconds)
 
-    def is_resting(self, name: str, now: float) -> bool:
+    def is_backing_off(self, name: str, now: float) -> bool:
         """Return whether a target must not be sent requests."""
         return self._until.get(name, 0.0) > now
 
-    def resting(self, now: float) -> list[str]:
+    def names_backing_off(self, now: float) -> list[str]:
         """Return the names of the targets that must not be sent requests."""
         self._until = {name: at for name, at in self._until.items() if at > now}
         return list(self._until)
 
-    def until_any(self, names: Iterable[str], now: float) -> float:
+    def seconds_until_any(self, names: Iterable[str], now: float) -> float:
         """Return the seconds until any of some targets may be sent requests again.
 
         0 if one of them is available now, or if `names` is empty.
--- a/hibiscusstep/load/rollout_emulator.py
+++ b/hibiscusstep/load/rollout_emulator.py
@@ -143,8 +143,8 @@
         self._version_table.update_targets(found, self._now)
 
     def _plan(self) -> DispatchPlan:
-        serving = self._version_table.serving(POOL)
-        rollout = self._version_table.planned(POOL, ExposureLimits(), 0.3)
+        serving = self._version_table.serving_versions(POOL)
+        rollout = self._version_table.planned_rollout(POOL, ExposureLimits(), 0.3)
         targets = {
             t.name: PlannedTarget(
                 self._scenario.slots,
--- a/hibiscusstep/platform/client.py
+++ b/hibiscusstep/platform/client.py
@@ -301,7 +301,7 @@
             return None
 
     def _log_ignored(self, name: str, revision: int, cause: Exception) -> None:
-        if not self._ignored.is_new(name, revision):
+        if not self._ignored.record(name, revision):
             return
         extra = {"kind": self._kind, "object": name, "revision": revision}
         _LOG.error("object left out", extra={**extra, "error": str(cause)})
--- a/hibiscusstep/rollout/comparison.py
+++ b/hibiscusstep/rollout/comparison.py
@@ -151,7 +151,7 @@
         """Note that all targets of the new version receive requests from now on."""
         self._times.stop_accepting_targets(now)
 
-    def take_running(self, answers: Iterable[AnswerSample], now: float) -> None:
+    def replace_running(self, answers: Iterable[AnswerSample], now: float) -> None:
         """Replace the requests that are running at the new version's targets.
 
         Parameters
--- a/hibiscusstep/rollout/controller.py
+++ b/hibiscusstep/rollout/controller.py
@@ -151,7 +151,7 @@
         return self._planned
 
     @property
-    def moves_all(self) -> bool:
+    def sends_all_traffic(self) -> bool:
         """Whether the new version receives all traffic now."""
         return self._full_traffic and self.verdict is not RolloutState.ROLLED_BACK
 
@@ -191,11 +191,11 @@
             "faulty": sorted(comparison.faulty_targets),
         }
 
-    def replan(self, planned: PlannedRollout) -> None:
+    def update_order(self, planned: PlannedRollout) -> None:
         """Update the data of the same order."""
         self._planned = planned
 
-    def count(self, exposed: bool) -> None:
+    def count_request(self, exposed: bool) -> None:
         """Count a request that was granted a target."""
         self._budget.count_request(exposed)
 
@@ -229,7 +229,7 @@
         """Requests to save up; fewer in a pool that saves them up slowly."""
         return min(MAX_BURST, max(MIN_BURST, self._budget.exposed / 4))
 
-    def tried(self, names: Iterable[str], now: float) -> list[str]:
+    def canary_targets(self, names: Iterable[str], now: float) -> list[str]:
         """Return the canary targets in order of preference.
 
         Only a few are used, in rotation, so that each has enough answers. Faulty
--- a/hibiscusstep/routing/version_partition.py
+++ b/hibiscusstep/routing/version_partition.py
@@ -77,7 +77,7 @@
         if planned is None:
             self.rollout = None
         elif self.rollout and self.rollout.planned.number == planned.number:
-            self.rollout.replan(planned)
+            self.rollout.update_order(planned)
         else:
             self.rollout = Rollout(planned)
             self._reported = False
@@ -129,7 +129,7 @@
             return None
         if not self.rollout.may_expose() or not self._canaries.has_free_slot(now):
             return None
-        if self.rollout.moves_all:
+        if self.rollout.sends_all_traffic:
             free = self._canaries.candidates(work.data_centre, now)
             worth_waiting = self._canaries.fastest(now)
         else:
@@ -146,12 +146,12 @@
         free = {
             t.name: t for t in self._canaries.usable(now) if t.available_slots(now) > 0
         }
-        tried = self.rollout.tried(self._canary_names, now)
-        return [free[name] for name in tried if name in free][:1]
+        canaries = self.rollout.canary_targets(self._canary_names, now)
+        return [free[name] for name in canaries if name in free][:1]
 
     def may_serve(self, work: m.Work, target: SlotTarget, now: float) -> bool:
         """Return whether a request would end before its target is stopped."""
-        if self.rollout is None or not self.rollout.moves_all:
+        if self.rollout is None or not self.rollout.sends_all_traffic:
             return True
         planned = self.rollout.planned
         ends = now + self._selector.duration_bound(target, work, now)
@@ -160,7 +160,7 @@
     def record_grant(self, target: SlotTarget) -> None:
         """Count a granted request for the rollout."""
         if self.rollout:
-            self.rollout.count(self._roles.get(target.name) is _Role.CANARY)
+            self.rollout.count_request(self._roles.get(target.name) is _Role.CANARY)
 
     def record_end(
         self, target: SlotTarget, run: Run, finished: m.Finished, now: float
@@ -205,7 +205,7 @@
         if self.rollout is None:
             return None
         running = self._running_canaries(targets, now)
-        self.rollout.comparison.take_running(running, now)
+        self.rollout.comparison.replace_running(running, now)
         usable = len(self._canaries.usable(now))
         self.rollout.tick(usable, now)
         if self.rollout.verdict is None or self._reported:
--- a/tests/quota_region.py
+++ b/tests/quota_region.py
@@ -41,24 +41,24 @@
         self.sent.append(send)
 
 
-class Store(UseStore):
-    """A store that counts its calls and fails while `away` is set."""
+class FakeUseStore(UseStore):
+    """A store that counts its calls and fails while `unavailable` is set."""
 
     def __init__(self):
         self.document = None
         self.writes = self.reads = 0
-        self.away = False
+        self.unavailable = False
 
     async def write(self, document):
         self.writes += 1
-        if self.away:
+        if self.unavailable:
             return Err(PlatformUnavailable("away", step="write", peer="store"))
         self.document = document
         return Ok(None)
 
     async def read(self):
         self.reads += 1
-        if self.away:
+        if self.unavailable:
             return Err(PlatformUnavailable("away", step="read", peer="store"))
         return Ok(self.document)
 
@@ -66,7 +66,7 @@
 @dataclass
 class Instance:
     incarnation: str
-    keeper: QuotaLimiter
+    limiter: QuotaLimiter
     links: _FakeLinks
     worker: SavedUsageWorker
     started: float
@@ -109,7 +109,7 @@
             quota_window=self.WINDOW_S, quota_overage=0.1, quota_slack=140_000.0
         )
         self.rule = CustomerRule("c", frozenset(), None, Quota(rate, rate, 10))
-        self.store = Store() if kept else None
+        self.store = FakeUseStore() if kept else None
         self.history = []
         self.refused = 0
         self.asked = 0
@@ -146,7 +146,7 @@
         worker.calls, worker.results = [], results
         worker.tell = worker.calls.append
         incarnation = f"inc{number}.{next(self._serial)}"
-        keeper = QuotaLimiter(
+        limiter = QuotaLimiter(
             incarnation,
             f"a{number}",
             links,
@@ -155,7 +155,7 @@
         )
         first_tick = self.now + self._random.random() * TICK_S
         self.instances[number] = Instance(
-            incarnation, keeper, links, worker, self.now, first_tick
+            incarnation, limiter, links, worker, self.now, first_tick
         )
 
     def kill(self, *numbers):
@@ -185,8 +185,8 @@
                 continue
             instance.told = view_values
             view = self.view(number, *view_values)
-            await instance.keeper.handle(ViewChanged(view))
-            await instance.keeper.handle(CustomersChanged((self.rule,)))
+            await instance.limiter.handle(ViewChanged(view))
+            await instance.limiter.handle(CustomersChanged((self.rule,)))
 
     def view(self, number, seen, silent, listed):
         """Return the membership view of an instance."""
@@ -213,12 +213,12 @@
     def _request(self, demand):
         expected = demand * self.rule.quota.rate * STEP_S / REQUEST_TOKENS
         count = int(expected) + (self._random.random() < expected % 1)
-        accepting = [i.keeper for i in self.instances.values() if self._accepts(i)]
+        accepting = [i.limiter for i in self.instances.values() if self._accepts(i)]
         for _ in range(count if accepting else 0):
             tokens = 60 + int(self._random.expovariate(1 / (REQUEST_TOKENS - 60)))
-            keeper = self._random.choice(accepting)
+            limiter = self._random.choice(accepting)
             self.asked += tokens
-            if reservation := keeper.reserve(self.rule, tokens):
+            if reservation := limiter.reserve(self.rule, tokens):
                 reservation.commit()
                 self.history.append((self.now, tokens))
             else:
@@ -226,13 +226,15 @@
 
     def _accepts(self, instance):
         """Return whether requests no longer wait for the earlier usage."""
-        return instance.keeper.informed or self.now - instance.started > MAX_WAIT_S
+        return (
+            instance.limiter.history_known or self.now - instance.started > MAX_WAIT_S
+        )
 
     async def _tick(self):
         for instance in list(self.instances.values()):
             if self.now >= instance.next_tick:
                 instance.next_tick += TICK_S
-                await instance.keeper.handle(Tick())
+                await instance.limiter.handle(Tick())
                 await instance.worker.handle(Tick())
             await self._run_store_calls(instance)
 
@@ -242,7 +244,7 @@
         while worker.calls:
             await worker.handle(worker.calls.pop(0))
         while worker.results:
-            await instance.keeper.handle(worker.results.pop(0))
+            await instance.limiter.handle(worker.results.pop(0))
 
     async def _deliver(self):
         for number, instance in self.instances.items():
@@ -262,7 +264,7 @@
                 sent = packet.message
                 message = codec.decode(type(sent), codec.encode(sent))
                 received = Received(f"a{packet.sender}", message)
-                await self.instances[packet.to].keeper.handle(received)
+                await self.instances[packet.to].limiter.handle(received)
 
 
 class RelayedQuotaRegion(QuotaRegion):
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -117,7 +117,7 @@
             await site.end_instance(number)
         await site.add_instance()
         async with asyncio.timeout(BOUND_S):
-            while not site.instances[2].quarantine.quarantined:
+            while not site.instances[2].quarantine.quarantined_count:
                 await asyncio.sleep(0.01)
         await self._send_repeatedly(site, [2])
         assert site.crashes <= MAX_CRASHES
@@ -148,7 +148,7 @@
             assert response.status == 404
         async with site.session.delete(f"{url}/nonsense") as response:
             assert response.status == 400
-        assert not site.instances[0].quarantine.quarantined
+        assert not site.instances[0].quarantine.quarantined_count
 
     async def test_retries_by_an_instance_count_as_well(self, site):
         await site.start_pool(instances=1)
@@ -168,7 +168,7 @@
             sound = [site.call("/resume/", body=body) for body in bodies]
             statuses = await asyncio.gather(*sound, self._send_crashing(site))
             assert set(statuses[-1:]) <= {502, 503}
-        assert site.instances[0].quarantine.quarantined == 1
+        assert site.instances[0].quarantine.quarantined_count == 1
         for body in bodies:
             await site.wait_for_target(0)
             assert (await site.call("/resume/", body=body))[0] == 200
--- a/tests/test_pool_versions.py
+++ b/tests/test_pool_versions.py
@@ -44,40 +44,40 @@
     def test_the_only_version_is_current(self):
         table = PoolVersionTable()
         table.update_targets(_targets("v1", "v1"), 0.0)
-        assert table.serving(POOL) == {"v1"}
+        assert table.serving_versions(POOL) == {"v1"}
 
     def test_a_version_that_appears_later_is_not_current(self):
         table = PoolVersionTable()
         table.update_targets(_targets("v1"), 0.0)
         table.update_targets(_targets("v1", "v2", "v2"), 1.0)
-        assert table.serving(POOL) == {"v1"}
+        assert table.serving_versions(POOL) == {"v1"}
         assert table.barred_versions(POOL) == {"v2"}
 
     def test_none_of_several_versions_serves_before_one_is_known(self):
         table = PoolVersionTable()
         table.update_targets(_targets("v1", "v2"), 0.0)
         assert table.ambiguous_pools() == [POOL]
-        assert "v1" not in table.serving(POOL)
-        assert table.serving(POOL)
+        assert "v1" not in table.serving_versions(POOL)
+        assert table.serving_versions(POOL)
 
     def test_an_order_reveals_the_current_version(self):
         table = PoolVersionTable()
         table.update_targets(_targets("v1", "v2"), 0.0)
         table.apply_order(_order(), 0.0)
-        assert table.serving(POOL) == {"v1"}
+        assert table.serving_versions(POOL) == {"v1"}
 
     def test_a_completed_order_reveals_the_current_version(self):
         table = PoolVersionTable()
         table.update_targets(_targets("v1", "v2"), 0.0)
         table.apply_order(_order(state=RolloutState.COMPLETED, state_version="v2"), 0.0)
-        assert table.serving(POOL) == {"v2"}
-        assert table.planned(POOL, LIMITS, 0.3) is None
+        assert table.serving_versions(POOL) == {"v2"}
+        assert table.planned_rollout(POOL, LIMITS, 0.3) is None
 
     def test_the_version_with_the_oldest_target_is_guessed(self):
         table = PoolVersionTable()
         table.update_targets(_targets("v1", "v2", "v2"), 0.0)
         table.guess_serving(POOL, 0.0)
-        assert table.serving(POOL) == {"v1"}
+        assert table.serving_versions(POOL) == {"v1"}
 
     def test_a_peer_that_has_known_the_version_for_longer_wins(self):
         older, younger = PoolVersionTable(), PoolVersionTable()
@@ -86,7 +86,7 @@
         younger.update_targets(_targets("v2"), 49.0)
         (record,) = older.records(60.0)
         assert younger.merge_record(_round_trip(record), 60.0)
-        assert younger.serving(POOL) == {"v1"}
+        assert younger.serving_versions(POOL) == {"v1"}
 
 
 class TestOrders:
@@ -106,11 +106,11 @@
         table = PoolVersionTable()
         table.update_targets(_targets("v1"), 0.0)
         table.apply_order(_order(), 1.0)
-        assert table.planned(POOL, LIMITS, 0.3) is None
+        assert table.planned_rollout(POOL, LIMITS, 0.3) is None
         table.apply_order(
             _order(revision=6, state=RolloutState.RUNNING, state_version="v2"), 1.1
         )
-        assert table.planned(POOL, LIMITS, 0.3).version == "v2"
+        assert table.planned_rollout(POOL, LIMITS, 0.3).version == "v2"
 
     def test_a_running_order_continues_after_a_restore_lost_its_status(self):
         table = PoolVersionTable()
@@ -118,7 +118,7 @@
             _order(revision=6, state=RolloutState.RUNNING, state_version="v2"), 1.0
         )
         table.apply_order(_order(revision=100), 2.0)
-        assert table.planned(POOL, LIMITS, 0.3) is not None
+        assert table.planned_rollout(POOL, LIMITS, 0.3) is not None
 
     def test_a_removal_may_carry_the_last_revision_of_the_order(self):
         one, other = PoolVersionTable(), PoolVersionTable()
@@ -165,7 +165,7 @@
         table.apply_order(_order(state=RolloutState.RUNNING, state_version="v2"), 1.0)
         assert not table[POOL].progress.is_known
         table.restore_progress(POOL, 5, 4.0, RolloutProgress(100, 9, 3), 2.0)
-        planned = table.planned(POOL, LIMITS, 0.3)
+        planned = table.planned_rollout(POOL, LIMITS, 0.3)
         assert planned.progress.exposed == 9
         assert planned.deadline == 2.0 - 4.0 + 10.0
 
@@ -207,7 +207,7 @@
         table.apply_order(done, 2.0)
         table.apply_order(_order(revision=100), 3.0)
         assert table[POOL].state_to_write is RolloutState.COMPLETED
-        assert table.serving(POOL) == {"v2"}
+        assert table.serving_versions(POOL) == {"v2"}
 
     def test_a_pool_with_one_version_and_no_order_has_no_record(self):
         table = PoolVersionTable()
@@ -348,7 +348,7 @@
             return
         for table in self.tables:
             if table[POOL].revision >= self.store.revision:
-                assert table.planned(POOL, LIMITS, 0.3) is None
+                assert table.planned_rollout(POOL, LIMITS, 0.3) is None
 
     @invariant()
     def a_rejected_order_is_never_completed(self):
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from quota_region import Store
+from quota_region import FakeUseStore
 
 from hibiscusstep import codec
 from hibiscusstep.forwarding.crash_detector import InterruptedAttempt
@@ -24,7 +24,7 @@
     def __init__(self, refused=True):
         self.refused = refused
 
-    async def is_refused(self, name, address):
+    async def probe_refused(self, name, address):
         return self.refused
 
 
@@ -44,7 +44,7 @@
     """Quarantines by instance name; messages are delivered without delay."""
 
     def __init__(self):
-        self.store = Store()
+        self.store = FakeUseStore()
         self.members = {}
         self._tasks = set()
 
@@ -228,10 +228,10 @@
         assert (region.store.writes, region.store.reads) == (0, 1)
 
     async def test_a_failed_write_is_retried(self, region):
-        region.store.away = True
+        region.store.unavailable = True
         await self._quarantine_request(region)
         assert region.store.document is None
-        region.store.away = False
+        region.store.unavailable = False
         await region.tick(3)
         assert len(region.store.document["requests"]) == 1
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -36,7 +36,7 @@
         self.now = 1000.0
         monkeypatch.setattr(loop, "time", lambda: self.now)
         self.links = [_FakeLinks() for _ in range(count)]
-        self.keepers = [
+        self.limiters = [
             QuotaLimiter(f"inc{n}", f"a{n}", link, BOUNDS)
             for n, link in enumerate(self.links)
         ]
@@ -44,7 +44,7 @@
 
     def restart(self):
         """Replace all keepers with new ones, as after a power failure."""
-        self.keepers = [
+        self.limiters = [
             QuotaLimiter(f"new{n}", f"a{n}", link, BOUNDS)
             for n, link in enumerate(self.links)
         ]
@@ -54,16 +54,18 @@
         self.view_changed = ViewChanged(View(members, silent))
 
     async def start(self):
-        for keeper in self.keepers:
-            await keeper.handle(self.view_changed)
+        for limiter in self.limiters:
+            await limiter.handle(self.view_changed)
 
     async def exchange(self, isolated=()):
-        for n, (keeper, link) in enumerate(zip(self.keepers, self.links, strict=True)):
-            await keeper.handle(Tick())
+        for n, (limiter, link) in enumerate(
+            zip(self.limiters, self.links, strict=True)
+        ):
+            await limiter.handle(Tick())
             for send in link.sent:
                 to = int(send.address[1:])
                 if (n in isolated) == (to in isolated):
-                    await self.keepers[to].handle(Received(f"a{n}", send.message))
+                    await self.limiters[to].handle(Received(f"a{n}", send.message))
             link.sent.clear()
 
 
@@ -91,7 +93,7 @@
         used_at = []
         for _step in range(100):
             for n in range(3):
-                while reservation := fleet.keepers[n].reserve(RULE, 10):
+                while reservation := fleet.limiters[n].reserve(RULE, 10):
                     reservation.commit()
                     used_at.append((fleet.now, 10))
                     if len(used_at) % 4 == 0:
@@ -105,20 +107,20 @@
 
     async def test_below_the_quota_nothing_is_refused(self, fleet):
         for _step in range(200):
-            fleet.keepers[_step % 3].reserve(RULE, 15).commit()
+            fleet.limiters[_step % 3].reserve(RULE, 15).commit()
             fleet.now += 0.2
             await fleet.exchange()
 
     async def test_sides_of_a_partition_together_stay_within_the_limit(self, fleet):
         fleet.set_view([0], 2)
-        await fleet.keepers[0].handle(fleet.view_changed)
+        await fleet.limiters[0].handle(fleet.view_changed)
         fleet.set_view([1, 2], 1)
         for n in (1, 2):
-            await fleet.keepers[n].handle(fleet.view_changed)
+            await fleet.limiters[n].handle(fleet.view_changed)
         used = 0
         for _step in range(40):
             for n in range(3):
-                while reservation := fleet.keepers[n].reserve(RULE, 10):
+                while reservation := fleet.limiters[n].reserve(RULE, 10):
                     reservation.commit()
                     used += 10
             await fleet.exchange(isolated=(0,))
@@ -129,9 +131,9 @@
         async def use_quota(seconds):
             used = 0
             for _step in range(round(seconds * 5)):
-                for keeper in fleet.keepers:
+                for limiter in fleet.limiters:
                     for _ in range(5):
-                        if reservation := keeper.reserve(RULE, 10):
+                        if reservation := limiter.reserve(RULE, 10):
                             reservation.commit()
                             used += 10
                 await fleet.exchange()
@@ -147,41 +149,41 @@
         assert still_counts + after <= MAX_WINDOW_TOKENS
 
     async def test_released_tokens_may_be_used_again(self, fleet):
-        keeper = fleet.keepers[0]
+        limiter = fleet.limiters[0]
         reservations = []
-        while reservation := keeper.reserve(RULE, 10):
+        while reservation := limiter.reserve(RULE, 10):
             reservations.append(reservation)
         reservations[0].release()
         reservations[0].commit()
-        assert keeper.reserve(RULE, 10)
-        assert not keeper.reserve(RULE, 10)
+        assert limiter.reserve(RULE, 10)
+        assert not limiter.reserve(RULE, 10)
 
     async def test_waiting_requests_reserve_no_tokens(self, fleet):
         """Most waiting requests of a burst are refused for load and use no tokens."""
-        keeper = fleet.keepers[0]
-        waiting = [QuotaRequest(keeper, RULE, 10, f"r{n}") for n in range(500)]
-        assert all(claim.fits() for claim in waiting)
-        taken = [claim for claim in waiting if claim.take()]
+        limiter = fleet.limiters[0]
+        waiting = [QuotaRequest(limiter, RULE, 10, f"r{n}") for n in range(500)]
+        assert all(quota_request.fits() for quota_request in waiting)
+        taken = [quota_request for quota_request in waiting if quota_request.reserve()]
         assert 0 < len(taken) < 500
-        assert not QuotaRequest(keeper, RULE, 10, "late").take()
+        assert not QuotaRequest(limiter, RULE, 10, "late").reserve()
         taken[0].release()
-        assert QuotaRequest(keeper, RULE, 10, "late").take()
+        assert QuotaRequest(limiter, RULE, 10, "late").reserve()
 
     async def test_rate_of_zero_means_no_limit(self, fleet):
         rule = CustomerRule("free", frozenset(), None, Quota(0.0, 0.0, 10))
-        assert all(fleet.keepers[0].reserve(rule, 10**6) for _ in range(50))
+        assert all(fleet.limiters[0].reserve(rule, 10**6) for _ in range(50))
 
     async def test_new_instance_receives_earlier_usage(self, fleet):
         for _tick in range(6):
-            while reservation := fleet.keepers[0].reserve(RULE, 10):
+            while reservation := fleet.limiters[0].reserve(RULE, 10):
                 reservation.commit()
             await fleet.exchange()
-        fleet.keepers[1] = QuotaLimiter("new", "a1", fleet.links[1], BOUNDS)
-        await fleet.keepers[1].handle(fleet.view_changed)
+        fleet.limiters[1] = QuotaLimiter("new", "a1", fleet.links[1], BOUNDS)
+        await fleet.limiters[1].handle(fleet.view_changed)
         for _tick in range(10):
             fleet.now += 0.2
             await fleet.exchange()
-        assert not fleet.keepers[1].reserve(RULE, 200)
+        assert not fleet.limiters[1].reserve(RULE, 200)
 
 
 class TestRelays:
@@ -193,7 +195,7 @@
 
         fleet = Fleet(6, monkeypatch, asyncio.get_running_loop())
         relays = {f"i{n}": _member(n) for n in (0, 1)}
-        for n, keeper in enumerate(fleet.keepers):
+        for n, limiter in enumerate(fleet.limiters):
             if n < 2:
                 followers = {f"i{m}": _member(m) for m in (n + 2, n + 4)}
                 view = View(relays, followers=followers, others=2)
@@ -201,7 +203,7 @@
                 view = View(
                     {**relays, f"i{n}": _member(n)}, parent=f"a{n % 2}", others=3
                 )
-            await keeper.handle(ViewChanged(view))
+            await limiter.handle(ViewChanged(view))
         fleet.now += 20.0
         return fleet
 
@@ -211,24 +213,24 @@
             await fleet.exchange()
 
     async def test_each_instance_counts_all_usage_once(self, fleet):
-        for n, keeper in enumerate(fleet.keepers):
-            keeper.reserve(RULE, 10 + n).commit()
+        for n, limiter in enumerate(fleet.limiters):
+            limiter.reserve(RULE, 10 + n).commit()
         await self._settle(fleet)
         fleet.now += 1.1
-        assert {k.used("c", fleet.now) for k in fleet.keepers} == {75}
+        assert {k.used("c", fleet.now) for k in fleet.limiters} == {75}
 
     async def test_usage_expires_after_the_window(self, fleet):
-        for keeper in fleet.keepers:
-            keeper.reserve(RULE, 10).commit()
+        for limiter in fleet.limiters:
+            limiter.reserve(RULE, 10).commit()
         await self._settle(fleet)
         fleet.now += 8.1
-        assert {k.used("c", fleet.now) for k in fleet.keepers} == {0}
+        assert {k.used("c", fleet.now) for k in fleet.limiters} == {0}
 
     async def test_all_instances_together_stay_within_the_limit(self, fleet):
         used_at = []
         for _step in range(100):
-            for keeper in fleet.keepers:
-                if reservation := keeper.reserve(RULE, 10):
+            for limiter in fleet.limiters:
+                if reservation := limiter.reserve(RULE, 10):
                     reservation.commit()
                     used_at.append((fleet.now, 10))
             fleet.now += 0.2
@@ -243,14 +245,14 @@
     async def test_burst_stays_within_the_limit(self, fleet, before, each):
         used_at = []
         if before:
-            fleet.keepers[3].reserve(RULE, before).commit()
+            fleet.limiters[3].reserve(RULE, before).commit()
             used_at.append((fleet.now, before))
         await self._settle(fleet)
         fleet.now += 1.1
         for _step in range(40):
-            for keeper in fleet.keepers:
+            for limiter in fleet.limiters:
                 for _ in range(each):
-                    if reservation := keeper.reserve(RULE, 10):
+                    if reservation := limiter.reserve(RULE, 10):
                         reservation.commit()
                         used_at.append((fleet.now, 10))
             fleet.now += 0.2
@@ -262,15 +264,15 @@
             )
 
     async def test_new_relay_sends_the_whole_window(self, fleet):
-        for n, keeper in enumerate(fleet.keepers):
-            keeper.reserve(RULE, 10 + n).commit()
+        for n, limiter in enumerate(fleet.limiters):
+            limiter.reserve(RULE, 10 + n).commit()
         await self._settle(fleet)
-        moved_follower = fleet.keepers[2]
+        moved_follower = fleet.limiters[2]
         relays = {f"i{n}": _member(n) for n in (0, 1)}
         view = View({**relays, "i2": _member(2)}, parent="a1", others=3)
         await moved_follower.handle(ViewChanged(view))
         followers = {f"i{m}": _member(m) for m in (2, 3, 5)}
-        await fleet.keepers[1].handle(ViewChanged(View(relays, followers=followers)))
+        await fleet.limiters[1].handle(ViewChanged(View(relays, followers=followers)))
         await self._settle(fleet)
         fleet.now += 1.1
         assert moved_follower.used("c", fleet.now) >= 75
--- a/tests/test_quota_restarts.py
+++ b/tests/test_quota_restarts.py
@@ -155,7 +155,7 @@
         """Usage is unknown then, and the limit must not grow by guessing."""
         for seed in SEEDS:
             region = QuotaRegion(6, monkeypatch, seed=seed, kept=True)
-            region.store.away = True
+            region.store.unavailable = True
             await region.play(20.0, demand=NORMAL)
             await region.play(2.0, demand=OVERLOAD)
             await _restart_all(region)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -72,7 +72,7 @@
             )
             for n in range(count)
         ]
-        self.comparison.take_running(running, self.now)
+        self.comparison.replace_running(running, self.now)
 
     def add_new(self, count, fails=0.01, slow=0.0, current_fails=0.01, only=None):
         """Add answers of the new version, each after four of the current one.
@@ -264,7 +264,7 @@
         for number in range(int(seconds * rate)):
             now = start + number / rate
             exposed = rollout.may_expose()
-            rollout.count(exposed)
+            rollout.count_request(exposed)
             name = "new" if exposed else "old"
             failed = exposed and rng.random() < failing
             answer = AnswerSample(f"{name}{number % 3}", "r", failed, ratio=1.0)
@@ -301,14 +301,14 @@
             rollout.comparison.observe(bad, new=True, now=18.5)
         assert rollout.comparison.rejection_reason(3, 18.5) == ""
         rollout.tick(3, 19.6)
-        assert not rollout.moves_all
+        assert not rollout.sends_all_traffic
         rollout.tick(3, 19.71)
         assert rollout.verdict is RolloutState.ROLLED_BACK
 
     def test_answers_that_were_not_compared_do_not_complete_it(self):
         rollout = _rollout()
         for number in range(20):
-            rollout.count(True)
+            rollout.count_request(True)
             answer = AnswerSample("new", "r", False, ratio=1.0)
             rollout.comparison.observe(answer, new=True, now=0.1 * number)
         rollout.tick(3, 19.8)
@@ -330,7 +330,7 @@
 
     def test_with_too_few_answers_it_is_rolled_back(self):
         rollout = _rollout(5.0)
-        rollout.count(True)
+        rollout.count_request(True)
         rollout.tick(2, 4.8)
         assert rollout.verdict is RolloutState.ROLLED_BACK
         assert "answers" in rollout.reason
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -211,7 +211,7 @@
         dispatcher = next(
             i for i in site.instances if i.view.dispatcher(POOL) == i._settings.name
         )
-        await site.until(lambda: dispatcher._rollouts.book[POOL].is_rejected)
+        await site.until(lambda: dispatcher._rollouts.version_table[POOL].is_rejected)
         received = site.requests_run["v2"]
         await site.until_old_has_run()
         assert site.requests_run["v2"] <= received + SLOTS
@@ -256,7 +256,9 @@
         await site.until(lambda: site.requests_run["v2"] >= 5)
         site.store.remove("rollouts", POOL)
         await site.until(
-            lambda: not any(i._rollouts.book.running_pools for i in site.running)
+            lambda: (
+                not any(i._rollouts.version_table.running_pools for i in site.running)
+            )
         )
         received = site.requests_run["v2"]
         await site.until_old_has_run()
@@ -311,7 +313,7 @@
 
 
 def _serving_versions(instance):
-    return instance._rollouts.book.serving(POOL)
+    return instance._rollouts.version_table.serving_versions(POOL)
 
 
 class TestTakeover:
@@ -344,11 +346,11 @@
         for number in range(2):
             await site.end_instance(number)
         await site.add_instance(wait=False)
-        book = site.instances[2]._rollouts.book
-        await site.until(lambda: book[POOL].order is not None)
-        await site.until(lambda: book[POOL].progress.is_known)
-        assert book[POOL].progress.exposed >= 8
-        assert book.serving(POOL) == {"v1"}
+        version_table = site.instances[2]._rollouts.version_table
+        await site.until(lambda: version_table[POOL].order is not None)
+        await site.until(lambda: version_table[POOL].progress.is_known)
+        assert version_table[POOL].progress.exposed >= 8
+        assert version_table.serving_versions(POOL) == {"v1"}
 
     async def test_a_target_change_makes_one_plan(self, site, monkeypatch):
         await site.start_pool(instances=1, new=0)
--- a/tests/test_saved_usage.py
+++ b/tests/test_saved_usage.py
@@ -3,7 +3,7 @@
 from dataclasses import asdict
 
 import pytest
-from quota_region import Store
+from quota_region import FakeUseStore
 
 from hibiscusstep.forwarding.saved_usage import (
     ReadUse,
@@ -75,7 +75,7 @@
         return SavedUsageWorker(store, SPAN_S, read_results.append), read_results
 
     async def test_reads_what_another_worker_wrote(self):
-        store = Store()
+        store = FakeUseStore()
         writer, _ = self._worker(store)
         await writer.handle(SaveUsage(self._USAGE))
         reader, read_results = self._worker(store)
@@ -85,12 +85,12 @@
         assert store.reads == 1
 
     async def test_retries_after_store_errors(self):
-        store = Store()
-        store.away = True
+        store = FakeUseStore()
+        store.unavailable = True
         worker, read_results = self._worker(store)
         await worker.handle(ReadUse())
         await worker.handle(SaveUsage(self._USAGE))
-        store.away = False
+        store.unavailable = False
         await worker.handle(Tick())
         assert store.document == asdict(self._USAGE)
         assert len(read_results) == 1
@@ -106,7 +106,7 @@
         ],
     )
     async def test_missing_or_malformed_document_lists_no_customers(self, document):
-        store = Store()
+        store = FakeUseStore()
         store.document = document
         worker, read_results = self._worker(store)
         await worker.handle(ReadUse())
--- a/tests/test_state_distributor.py
+++ b/tests/test_state_distributor.py
@@ -30,11 +30,11 @@
     return View({member.name: member for member in members}, **fields)
 
 
-def _spread():
+def _distributor():
     links = _Links()
     targets = {"t": DiscoveredTarget("t", "p", "a:1", "z", 4, False, 7)}
-    spread = StateDistributor("inc-own", "own", "z", links, targets, lambda: 9)
-    return spread, links
+    distributor = StateDistributor("inc-own", "own", "z", links, targets, lambda: 9)
+    return distributor, links
 
 
 def _requests(links):
@@ -47,50 +47,50 @@
 
 class TestConfiguration:
     async def test_the_parent_is_asked_immediately(self):
-        spread, links = _spread()
+        distributor, links = _distributor()
         view = _view(_member("a", 5), _member("b", 5), parent="b")
-        spread.take_view(view)
+        distributor.apply_view(view)
         await asyncio.sleep(0.01)
         assert _requests(links) == ["b"]
 
     async def test_a_relay_of_the_same_data_centre_is_asked_after_a_delay(self):
-        spread, links = _spread()
+        distributor, links = _distributor()
         far = _member("a", 5, "elsewhere")
-        spread.take_view(_view(far, _member("b", 5), _member("c", 4)))
+        distributor.apply_view(_view(far, _member("b", 5), _member("c", 4)))
         assert not _requests(links)
         await asyncio.sleep(2 * REQUEST_DELAY_S)
         assert _requests(links) == ["b"]
 
     async def test_a_pending_request_is_not_repeated(self):
-        spread, links = _spread()
-        spread.take_view(_view(_member("a", 5), _member("b", 5)))
-        spread.ask_for_newer_table()
-        spread.ask_for_newer_table()
+        distributor, links = _distributor()
+        distributor.apply_view(_view(_member("a", 5), _member("b", 5)))
+        distributor.request_newer_table()
+        distributor.request_newer_table()
         assert len(_requests(links)) == 1
 
     async def test_a_version_in_force_is_not_requested(self):
-        spread, links = _spread()
-        spread.table = decode_table_spec(configuration(5))
-        spread.take_view(_view(_member("a", 5)))
-        spread.ask_for_newer_table()
+        distributor, links = _distributor()
+        distributor.table = decode_table_spec(configuration(5))
+        distributor.apply_view(_view(_member("a", 5)))
+        distributor.request_newer_table()
         assert not _requests(links)
 
 
 class TestTargets:
     async def test_starting_members_and_followers_get_all_targets_once(self):
-        spread, links = _spread()
+        distributor, links = _distributor()
         starting = _member("b", ready=False)
         followers = {"c": _member("c")}
         view = _view(_member("a"), starting, followers=followers)
-        spread.take_view(view)
-        spread.take_view(view)
+        distributor.apply_view(view)
+        distributor.apply_view(view)
         assert sorted(_target_messages(links)) == ["b", "c"]
         assert all(message.revision == 9 for _to, message in links.sent)
 
     async def test_changes_go_to_the_neighbours(self):
-        spread, links = _spread()
-        spread.take_view(_view(_member("own"), _member("a"), _member("b")))
-        spread.tell_changes([Change("t", None, 8)])
+        distributor, links = _distributor()
+        distributor.apply_view(_view(_member("own"), _member("a"), _member("b")))
+        distributor.send_changes([Change("t", None, 8)])
         assert sorted(_target_messages(links)) == ["a", "b"]
         (message, _) = (message for _to, message in links.sent)
         assert message.states[0].removed and not message.revision
