--- a/hibiscusstep/routing/slot_target.py
+++ b/hibiscusstep/routing/slot_target.py
@@ -239,7 +239,7 @@
         parts = [
             f"{len(self.running)}/{self.slots}",
             f"x{self.slowness:.2f}",
-            f"f{self.failing:.2f}",
+            f"f{self.failure_share:.2f}",
         ]
         if self.leaving:
             parts.append("leaving")
