--- a/hibiscusstep/forwarding/bounds.py
+++ b/hibiscusstep/forwarding/bounds.py
@@ -56,7 +56,7 @@
         gone.
     capacity : int
         As in `hibiscusstep.store.InstanceRecord`.
-    mesh_size : int
+    max_mesh_size : int
         Maximum number of instances in a full mesh; larger groups communicate over
         relays.
     switches : Switches
@@ -76,7 +76,7 @@
     heartbeat_interval: float
     suspect_after: float
     capacity: int = 1
-    mesh_size: int = MESH_SIZE
+    max_mesh_size: int = MESH_SIZE
     switches: Switches = ALL_ENABLED
     log_style: str = "json"
     log_level: str = "INFO"
--- a/hibiscusstep/forwarding/caller_frontend.py
+++ b/hibiscusstep/forwarding/caller_frontend.py
@@ -132,7 +132,7 @@
         received = asyncio.get_running_loop().time()
         head = self._context.dialect.read_request(request.headers)
         if self._table is None:
-            await _wait_for_startup(self._table_received.wait(), head.patience)
+            await _wait_for_startup(self._table_received.wait(), head.caller_timeout)
         try:
             route = self._find_route(request)
             customer = self._find_customer(route, head.key)
@@ -187,10 +187,12 @@
         if customer is None:
             return None
         if customer.quota.rate and not self._quotas.history_known:
-            await _wait_for_startup(self._quotas.wait_history_known(), head.patience)
+            await _wait_for_startup(
+                self._quotas.wait_history_known(), head.caller_timeout
+            )
         tokens = head.prompt_tokens + head.output_tokens
-        if not head.counted:
-            tokens = customer.quota.plain_tokens
+        if not head.declares_tokens:
+            tokens = customer.quota.default_tokens
         quota_request = QuotaRequest(self._quotas, customer, tokens, head.request)
         if not quota_request.fits():
             raise _RequestRejected(429, "customer quota exceeded", QUOTA_RETRY_S)
--- a/hibiscusstep/forwarding/dialect.py
+++ b/hibiscusstep/forwarding/dialect.py
@@ -25,29 +25,29 @@
         The caller's id of this attempt, "" if there is none.
     key : str
         The customer's key.
-    patience : float or None
+    caller_timeout : float or None
         Seconds for which the caller waits; None if not declared.
     prompt_tokens, output_tokens : int
         Tokens of the prompt and maximum tokens of the output, as the caller declares.
     expected_output : int
         The caller's estimate of the output tokens; `output_tokens` if not declared.
-    counted : bool
+    declares_tokens : bool
         Whether the caller declared token counts.
-    last_event : str
+    last_event_id : str
         Id of the event after which a stream resumes, "" to start at its beginning.
-    prompt : str
+    prompt_parts : str
         Names of the prompt's parts, "" if not declared.
     """
 
     request: str
     key: str
-    patience: float | None
+    caller_timeout: float | None
     prompt_tokens: int
     output_tokens: int
     expected_output: int
-    counted: bool
-    last_event: str
-    prompt: str = ""
+    declares_tokens: bool
+    last_event_id: str
+    prompt_parts: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,14 +62,14 @@
         Name of the customer, "" if there is none.
     timeout : float
         Seconds until the request's deadline.
-    last_event : str
+    last_event_id : str
         As in `RequestHead`.
     """
 
     target: str
     customer: str
     timeout: float
-    last_event: str
+    last_event_id: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +86,7 @@
         Whether the target declares that it did not run the request.
     misdirected : bool
         Whether a different target has the address.
-    encoded : bool
+    is_reencoded : bool
         Whether the body was encoded after the target wrote it.
     running, waiting : int
         The target's running and waiting requests; -1 if not declared.
@@ -94,7 +94,7 @@
         Seconds for which the target keeps an idle connection; 0 if not known.
     leaving : bool
         Whether the target declares that it accepts no new work.
-    stay_away : float
+    retry_after : float
         Seconds for which the target asks this instance to send no requests; 0 if not
         declared.
     """
@@ -103,12 +103,12 @@
     sealed: bool
     not_run: bool
     misdirected: bool
-    encoded: bool
+    is_reencoded: bool
     running: int
     waiting: int
     idle_timeout: float
     leaving: bool = False
-    stay_away: float = 0.0
+    retry_after: float = 0.0
 
 
 class Dialect(ABC):
--- a/hibiscusstep/forwarding/exchange.py
+++ b/hibiscusstep/forwarding/exchange.py
@@ -74,7 +74,7 @@
         self._attempts = 0
         self._may_have_run = False
         self._splitter = EventSplitter()
-        self._splitter.last_id = incoming.head.last_event
+        self._splitter.last_id = incoming.head.last_event_id
         self._response: web.StreamResponse | None = None
         self._last_failure_response: web.Response | None = None
         self._timing = StreamTiming(incoming.received)
@@ -220,7 +220,7 @@
             fingerprint=self._quarantine_status.fingerprint if broken else "",
             says_it_leaves=self._response_head is not None
             and self._response_head.leaving,
-            stay_away=self._response_head.stay_away if self._response_head else 0.0,
+            stay_away=self._response_head.retry_after if self._response_head else 0.0,
             routine=outcome is m.GrantOutcome.DONE,
         )
 
@@ -249,13 +249,13 @@
                     target_response.message.code, target_response.message.headers
                 )
                 if response_head.leaving and not target.leaving:
-                    self._context.on_leaving(target)
+                    self._context.on_target_leaving(target)
                 if response_head.request == incoming.head.request:
                     self._response_head = response_head
                     self._report_load(target, response_head)
-                    if response_head.stay_away:
-                        self._context.rests.back_off(
-                            target.name, response_head.stay_away, self._now()
+                    if response_head.retry_after:
+                        self._context.target_backoff.back_off(
+                            target.name, response_head.retry_after, self._now()
                         )
                     return target_response, response_head
                 # A late response to an earlier request on this connection is discarded.
@@ -272,7 +272,7 @@
         if response_head.not_run:
             await self._drain(target_response)
             return _AttemptFailure.NOT_RUN
-        if status < 300 and (not response_head.sealed or response_head.encoded):
+        if status < 300 and (not response_head.sealed or response_head.is_reencoded):
             raise _InvalidResponse(
                 "response without the target's seal, or with an encoded body"
             )
@@ -282,7 +282,7 @@
             body = await self._read_body(target_response)
             if (
                 status >= MIN_SERVER_ERROR_STATUS
-                and self._incoming.route.repeat is RetryMode.FROM_START
+                and self._incoming.route.retry_mode is RetryMode.FROM_START
             ):
                 self._release_connection(
                     connection, target_response, response_head, target
@@ -390,7 +390,7 @@
     def _can_retry(self) -> bool:
         route = self._incoming.route
         return (
-            route.repeat is not RetryMode.NEVER
+            route.retry_mode is not RetryMode.NEVER
             and self._attempts < route.max_attempts
             and self._context.retries.remaining(self._incoming.pool, self._now()) >= 1
         )
@@ -409,10 +409,10 @@
             return False
         if (
             failure in (_AttemptFailure.BROKEN, _AttemptFailure.FAILED)
-            and route.repeat is RetryMode.NEVER
+            and route.retry_mode is RetryMode.NEVER
         ):
             return False
-        if self._response is not None and route.repeat is not RetryMode.RESUME:
+        if self._response is not None and route.retry_mode is not RetryMode.RESUME:
             return False
         if failure is _AttemptFailure.BROKEN and not self._quarantine_status.may_retry:
             return False
--- a/hibiscusstep/forwarding/grant_client.py
+++ b/hibiscusstep/forwarding/grant_client.py
@@ -133,7 +133,7 @@
             self.release_grant(m.GrantOutcome.LEAVING)
             self._avoid.append(target.name)
             return False
-        if self._context.rests.is_backing_off(target.name, self._now()):
+        if self._context.target_backoff.is_backing_off(target.name, self._now()):
             self.release_grant(m.GrantOutcome.UNUSED)
             return False
         return True
@@ -155,14 +155,14 @@
             deadline; else 0.
         """
         context, now = self._context, self._now()
-        if not context.rests.names_backing_off(now):
+        if not context.target_backoff.names_backing_off(now):
             return 0.0
         names = [
             name
             for name, target in context.targets.items()
             if target.pool == self._incoming.pool and not target.leaving
         ]
-        seconds = context.rests.seconds_until_any(names, now)
+        seconds = context.target_backoff.seconds_until_any(names, now)
         if now + seconds > self._grant_deadline:
             return seconds
         await asyncio.sleep(seconds)
@@ -190,7 +190,7 @@
             data_centre=self._context.data_centre,
             identity=incoming.identity,
             suspect=self._quarantine_status.suspect,
-            resting=self._context.rests.names_backing_off(self._now()),
+            resting=self._context.target_backoff.names_backing_off(self._now()),
             route=incoming.route.name,
         )
         wanted = GrantRequest(
--- a/hibiscusstep/forwarding/incoming_request.py
+++ b/hibiscusstep/forwarding/incoming_request.py
@@ -70,11 +70,11 @@
         lengths. It is 0 for a request without a prompt, which is not recognized.
         """
         head = self.head
-        if not head.prompt:
+        if not head.prompt_parts:
             return 0
         customer = self.customer.name if self.customer else ""
         lengths = f"{head.prompt_tokens},{head.output_tokens},{head.expected_output}"
-        parts = (customer, self.request.raw_path, head.prompt, lengths)
+        parts = (customer, self.request.raw_path, head.prompt_parts, lengths)
         return xxhash.xxh64_intdigest("\0".join(parts).encode()) >> 1
 
     def fingerprint(self) -> int:
@@ -94,9 +94,11 @@
     @property
     def deadline(self) -> float:
         """Time by which the response has to be complete, on the loop's clock."""
-        patience = self.head.patience
+        caller_timeout = self.head.caller_timeout
         timeout = self.route.timeout
-        return self.received + (timeout if patience is None else min(patience, timeout))
+        return self.received + (
+            timeout if caller_timeout is None else min(caller_timeout, timeout)
+        )
 
 
 @dataclass(slots=True)
@@ -125,9 +127,9 @@
         Metrics of this instance.
     quarantine : Quarantine
         Records which requests crash targets.
-    rests : TargetBackoff
+    target_backoff : TargetBackoff
         Targets that asked this instance to back off.
-    on_leaving : callable of DiscoveredTarget
+    on_target_leaving : callable of DiscoveredTarget
         Called with a target whose response says that it is leaving.
     """
 
@@ -141,5 +143,5 @@
     targets: dict[str, DiscoveredTarget]
     metrics: ForwardingMetrics
     quarantine: Quarantine
-    rests: TargetBackoff
-    on_leaving: Callable[[DiscoveredTarget], None]
+    target_backoff: TargetBackoff
+    on_target_leaving: Callable[[DiscoveredTarget], None]
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -278,7 +278,7 @@
             self._environment.roster,
             self._on_view,
             settings.capacity,
-            settings.mesh_size,
+            settings.max_mesh_size,
         )
         self._catalog = Catalog(
             self._environment.tables,
--- a/hibiscusstep/forwarding/model.py
+++ b/hibiscusstep/forwarding/model.py
@@ -46,7 +46,7 @@
         Pools that serve the route.
     streaming : bool
         Whether responses are streams of server-sent events.
-    repeat : RetryMode
+    retry_mode : RetryMode
         Whether and how requests may be retried.
     timeout : float
         Maximum seconds from the receipt to the end of the response.
@@ -67,7 +67,7 @@
     prefix: str
     shares: tuple[PoolShare, ...]
     streaming: bool
-    repeat: RetryMode
+    retry_mode: RetryMode
     timeout: float
     objective: float
     rank: int
@@ -93,13 +93,13 @@
         Tokens per second, summed over all instances; 0 means unlimited.
     burst : float
         Additional tokens in any window.
-    plain_tokens : int
+    default_tokens : int
         Tokens charged for a request that declares no token count.
     """
 
     rate: float
     burst: float
-    plain_tokens: int
+    default_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,7 +120,7 @@
     ----------
     name : str
         Name of the pool.
-    engine : bool
+    is_engine : bool
         Whether its targets are model engines.
     tokens_per_event : int
         Tokens per event of its streams.
@@ -129,7 +129,7 @@
     """
 
     name: str
-    engine: bool
+    is_engine: bool
     tokens_per_event: int
     max_connections: int
 
@@ -160,7 +160,7 @@
         All pools.
     limits : IngressLimits
         Limits on callers' requests.
-    value : bytes
+    document : bytes
         The source document, which is sent to peers on request.
     """
 
@@ -169,7 +169,7 @@
     customers: tuple[CustomerRule, ...]
     pools: tuple[PoolRule, ...]
     limits: IngressLimits
-    value: bytes = field(default=b"", repr=False)
+    document: bytes = field(default=b"", repr=False)
 
     @cached_property
     def _by_host(self) -> dict[str, list[ForwardRoute]]:
--- a/hibiscusstep/forwarding/planning.py
+++ b/hibiscusstep/forwarding/planning.py
@@ -95,7 +95,7 @@
     routed = {share.pool: PlannedPool(True) for r in table.routes for share in r.shares}
     named = {
         pool.name: PlannedPool(
-            pool.engine, pool.tokens_per_event, pauses.get(pool.name, 1.0)
+            pool.is_engine, pool.tokens_per_event, pauses.get(pool.name, 1.0)
         )
         for pool in table.pools
     }
--- a/hibiscusstep/forwarding/state_distributor.py
+++ b/hibiscusstep/forwarding/state_distributor.py
@@ -93,7 +93,7 @@
     def send_table(self, address: str) -> None:
         """Send the configuration to an instance that requested it."""
         if self.table is not None:
-            reply = ConfigurationReply("", self.table.version, self.table.value)
+            reply = ConfigurationReply("", self.table.version, self.table.document)
             self._links.tell(Send(address, reply))
 
     def request_newer_table(self) -> None:
--- a/hibiscusstep/platform/client.py
+++ b/hibiscusstep/platform/client.py
@@ -314,7 +314,7 @@
     ----------
     client : ObjectClient
         Makes the calls.
-    all_are_new : bool
+    is_first_start : bool
         Whether the whole system starts for the first time. Otherwise most instances
         restart and their objects exist: 195 instances that restart at once then make
         195 calls to write them instead of 390.
@@ -322,9 +322,9 @@
 
     _KIND = "hibiscusstep-instances"
 
-    def __init__(self, client: ObjectClient, all_are_new: bool = True) -> None:
+    def __init__(self, client: ObjectClient, is_first_start: bool = True) -> None:
         self._client = client
-        self._methods = ("POST", "PUT") if all_are_new else ("PUT", "POST")
+        self._methods = ("POST", "PUT") if is_first_start else ("PUT", "POST")
 
     async def register(self, record: InstanceRecord) -> Result[None, PlatformError]:
         """Write the record of an instance, replacing an earlier one."""
--- a/hibiscusstep/platform/documents.py
+++ b/hibiscusstep/platform/documents.py
@@ -92,7 +92,7 @@
             ),
             pools=tuple(_decode_pool(entry) for entry in spec.get("Services") or ()),
             limits=_decode_limits(spec.get("Limits") or {}),
-            value=orjson.dumps(spec),
+            document=orjson.dumps(spec),
         )
     except f.MALFORMED_ERRORS as cause:
         raise ConfigurationError(f"malformed: {cause!r}", key="config") from None
@@ -177,7 +177,7 @@
         prefix=entry["PathPrefix"],
         shares=tuple(share for share in shares if share.weight > 0) or shares[:1],
         streaming=kind == "streaming",
-        repeat=_decode_repeat(kind, bool(entry.get("Resumable"))),
+        retry_mode=_decode_retry_mode(kind, bool(entry.get("Resumable"))),
         timeout=float(entry.get("TimeoutMs") or DEFAULT_TIMEOUT_MS) / 1000,
         objective=float(entry.get("TargetLatencyMs") or DEFAULT_OBJECTIVE_MS) / 1000,
         rank=int(entry.get("Priority", LOWEST_RANK)),
@@ -187,7 +187,7 @@
     )
 
 
-def _decode_repeat(kind: str, resumable: bool) -> RetryMode:
+def _decode_retry_mode(kind: str, resumable: bool) -> RetryMode:
     if kind == "safe":
         return RetryMode.FROM_START
     return RetryMode.RESUME if kind == "streaming" and resumable else RetryMode.NEVER
@@ -197,7 +197,7 @@
     quota = Quota(
         rate=float(entry.get("RatePerS") or 0),
         burst=float(entry.get("Burst") or 0),
-        plain_tokens=int(entry.get("PlainTokens") or 0),
+        default_tokens=int(entry.get("PlainTokens") or 0),
     )
     rank = entry.get("Priority")
     return CustomerRule(
@@ -211,7 +211,7 @@
 def _decode_pool(entry: dict) -> PoolRule:
     return PoolRule(
         name=entry["Name"],
-        engine=bool(entry.get("Engine")),
+        is_engine=bool(entry.get("Engine")),
         tokens_per_event=int((entry.get("Engine") or {}).get("Stride") or 1),
         max_connections=int(entry.get("MaxConns") or 0),
     )
--- a/hibiscusstep/platform/headers.py
+++ b/hibiscusstep/platform/headers.py
@@ -40,13 +40,13 @@
         return RequestHead(
             request=headers.get("X-Request-Id", ""),
             key=authorization[len(_BEARER) :].strip() if bearer else "",
-            patience=None if deadline_ms is None else deadline_ms / 1000,
+            caller_timeout=None if deadline_ms is None else deadline_ms / 1000,
             prompt_tokens=prompt,
             output_tokens=output,
             expected_output=output if hint is None else min(output, int(hint)),
-            counted=bool(usage),
-            last_event=headers.get("Last-Event-Id", ""),
-            prompt=headers.get("X-Prompt-Prefix", ""),
+            declares_tokens=bool(usage),
+            last_event_id=headers.get("Last-Event-Id", ""),
+            prompt_parts=headers.get("X-Prompt-Prefix", ""),
         )
 
     def target_request_fields(self, raw, order: TargetRequestHead):
@@ -57,8 +57,8 @@
         fields.append((b"X-Target-Instance", order.target.encode()))
         if order.customer:
             fields.append((b"X-Tenant", order.customer.encode()))
-        if order.last_event:
-            fields.append((b"Last-Event-Id", order.last_event.encode()))
+        if order.last_event_id:
+            fields.append((b"Last-Event-Id", order.last_event_id.encode()))
         return fields
 
     def read_response(self, status: int, headers) -> TargetResponseHead:
@@ -69,14 +69,14 @@
             sealed="X-Response-Seal" in headers,
             not_run="X-Not-Executed" in headers or status == _MISDIRECTED_REQUEST,
             misdirected=status == _MISDIRECTED_REQUEST,
-            encoded=headers.get("Content-Encoding", "identity") != "identity",
+            is_reencoded=headers.get("Content-Encoding", "identity") != "identity",
             running=running,
             waiting=waiting,
             idle_timeout=_parse_keep_alive_timeout(headers.get("Keep-Alive", "")),
             # A misdirected request is answered by another target than the intended one.
             leaving=headers.get("Server-Leaving") == "1"
             and status != _MISDIRECTED_REQUEST,
-            stay_away=_parse_retry_after(status, headers),
+            retry_after=_parse_retry_after(status, headers),
         )
 
     def caller_response_fields(self, raw):
--- a/hibiscusstep/platform/settings.py
+++ b/hibiscusstep/platform/settings.py
@@ -41,7 +41,7 @@
         IP address and port of the store.
     ready_address : str
         Address of the readiness check by the platform's load balancer.
-    all_are_new : bool
+    is_first_start : bool
         Whether the whole system starts for the first time.
     """
 
@@ -49,7 +49,7 @@
     bounds: Bounds
     store_address: str
     ready_address: str
-    all_are_new: bool
+    is_first_start: bool
 
 
 def load_platform_settings(path: Path) -> PlatformSettings:
--- a/hibiscusstep/routing/dispatch_plan.py
+++ b/hibiscusstep/routing/dispatch_plan.py
@@ -23,7 +23,7 @@
 
     Parameters
     ----------
-    engine : bool
+    is_engine : bool
         Whether its targets are model engines.
     tokens_per_event : int
         Number of tokens in an event of its streams.
@@ -37,7 +37,7 @@
         A rollout that moves its traffic to another version.
     """
 
-    engine: bool
+    is_engine: bool
     tokens_per_event: int = 1
     max_pause: float = 1.0
     targets: dict[str, PlannedTarget] = field(default_factory=dict)
--- a/hibiscusstep/routing/target_selector.py
+++ b/hibiscusstep/routing/target_selector.py
@@ -74,7 +74,7 @@
 
     def configure(self, pool: PlannedPool) -> None:
         """Apply the pool's configuration."""
-        self._is_engine = pool.engine
+        self._is_engine = pool.is_engine
         self._tokens_per_event = pool.tokens_per_event
         self._max_pause = pool.max_pause
 
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -183,14 +183,14 @@
         record = InstanceRecord("n1", "zone-a", "127.0.0.1:7")
         assert (await ObjectRoster(watched.client).register(record)).is_ok()
         watched.store.calls.clear()
-        again = ObjectRoster(watched.client, all_are_new=False)
+        again = ObjectRoster(watched.client, is_first_start=False)
         assert (await again.register(record)).is_ok()
         calls = [call for call in watched.store.calls if "instances" in call]
         assert len(calls) == 1
 
     async def test_an_added_instance_writes_its_record(self, watched):
         record = InstanceRecord("n2", "zone-a", "127.0.0.1:8")
-        later = ObjectRoster(watched.client, all_are_new=False)
+        later = ObjectRoster(watched.client, is_first_start=False)
         assert (await later.register(record)).is_ok()
         assert ("hibiscusstep-instances", "n2") in watched.store.objects
 
--- a/tests/test_grouped.py
+++ b/tests/test_grouped.py
@@ -28,7 +28,7 @@
 
     def make_instance(self, path):
         around = load_environment(path)
-        settings = dataclasses.replace(around.settings, mesh_size=MESH_SIZE)
+        settings = dataclasses.replace(around.settings, max_mesh_size=MESH_SIZE)
         return ForwardingInstance(dataclasses.replace(around, settings=settings))
 
     @property
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -27,16 +27,16 @@
 
 class TestRetryAfter:
     def test_a_503_answer_gives_the_seconds(self):
-        assert _read(503, Retry_After="2.5").stay_away == 2.5
+        assert _read(503, Retry_After="2.5").retry_after == 2.5
 
     @pytest.mark.parametrize("status", [200, 429, 500])
     def test_other_statuses_are_ignored(self, status):
-        assert _read(status, Retry_After="2.5").stay_away == 0.0
+        assert _read(status, Retry_After="2.5").retry_after == 0.0
 
     @pytest.mark.parametrize("value", ["", "-3", "0", "nan", "soon", "Fri, 4 Dec 2026"])
     def test_a_malformed_value_counts_as_absent(self, value):
-        assert _read(503, Retry_After=value).stay_away == 0.0
+        assert _read(503, Retry_After=value).retry_after == 0.0
 
     @pytest.mark.parametrize("value", ["1e9", "inf"])
     def test_the_time_is_bounded(self, value):
-        assert _read(503, Retry_After=value).stay_away == MAX_RETRY_AFTER_S
+        assert _read(503, Retry_After=value).retry_after == MAX_RETRY_AFTER_S
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -99,7 +99,7 @@
 class TestGroupedMembership:
     async def test_the_other_relays_hear_of_a_new_follower_at_once(self):
         settings = InstanceSettings(
-            "i0", "a", "r", "c:1", "o:1", "i0:1", "key", (), 0.25, 1.0, mesh_size=5
+            "i0", "a", "r", "c:1", "o:1", "i0:1", "key", (), 0.25, 1.0, max_mesh_size=5
         )
         links, platform = _Links(), MemoryPlatform()
         platform.records = RECORDS
