--- a/examples/decision_cost.py
+++ b/examples/decision_cost.py
@@ -38,7 +38,7 @@
         now = n * interval
         work = m.Work(
             f"a{n}", f"r{n}", "i", "c", str(n % RANKS), n % RANKS, 2000, 300,
-            now + patience, now, due=now + 2 * patience,
+            now + patience, now, first_token_due=now + 2 * patience,
         )  # fmt: skip
         messages = [m.RequestGrant(work)]
         if len(held) >= targets * SLOTS and not n % ASKS_AN_ANSWER:
--- a/hibiscusstep/dispatching.py
+++ b/hibiscusstep/dispatching.py
@@ -250,9 +250,9 @@
             pool,
             list(learnt.slowness),
             list(learnt.slowness.values()),
-            learnt.first,
-            learnt.token,
-            learnt.share,
+            learnt.base_seconds,
+            learnt.seconds_per_prompt_token,
+            learnt.prefill_chunk_s,
         )
         if self._kept:
             self._kept(news)
@@ -490,13 +490,13 @@
             "customer": work.customer,
             "tier": work.tier,
             "pool": pool,
-            "wait": round(now - work.received, 4),
-            "due_in": round(work.due - now, 3),
+            "wait": round(now - work.received_at, 4),
+            "due_in": round(work.first_token_due - now, 3),
         }
         match taken:
             case m.Grant(target=target, candidates=candidates):
                 decision("grant", **fields, target=target, candidates=candidates)
-                waited = now - work.received
+                waited = now - work.received_at
                 self._reply(address, PoolGrant(pool, work.ask, target, waited))
             case m.Refuse(reason=reason, retry_after=retry_after):
                 decision("refuse", **fields, reason=reason, retry_after=retry_after)
--- a/hibiscusstep/load/pool_emulator.py
+++ b/hibiscusstep/load/pool_emulator.py
@@ -278,7 +278,7 @@
         return m.Work(
             request.ask, request.ask, request.instance, "c", str(kind.rank), kind.rank,
             request.prompt, request.hint, asked + PATIENCE * kind.objective, asked,
-            due=asked + kind.objective, ends=request.began + kind.deadline,
+            first_token_due=asked + kind.objective, answer_due=request.began + kind.deadline,
             identity=request.number + 1,
         )  # fmt: skip
 
@@ -432,5 +432,9 @@
         if learned is None:
             return None
         return m.LearnedEstimates(
-            learned.slowness, learned.first, learned.token, learned.share, old=True
+            learned.slowness,
+            learned.base_seconds,
+            learned.seconds_per_prompt_token,
+            learned.prefill_chunk_s,
+            is_fallback=True,
         )
--- a/hibiscusstep/routing/messages.py
+++ b/hibiscusstep/routing/messages.py
@@ -79,7 +79,7 @@
         Estimates by the instance; 0 prompt tokens for a plain service.
     deadline : float
         Time at which the first byte is due.
-    received : float
+    received_at : float
         Time of receipt.
     stoppable : bool
         Whether it may be stopped while it runs.
@@ -87,17 +87,17 @@
         Hashes of prompt prefixes, the shortest first.
     avoid : tuple of str
         Targets at which an earlier attempt failed.
-    due : float
+    first_token_due : float
         Latest time at which the first token counts as on time; 0 if not given.
     data_centre : str
         Data centre of the instance.
-    ends : float
+    answer_due : float
         Time at which the whole answer is due; 0 if not given.
     identity : int
         Identifier common to all attempts of a caller at one request; 0 if not known.
     suspect : int
         Fingerprint of the request if targets crashed while they ran it, else 0.
-    resting : tuple of str
+    avoided_by_backoff : tuple of str
         Targets that accept no requests from the instance for now; none is granted.
     route : str
         Name of the route.
@@ -112,16 +112,16 @@
     prompt_tokens: int
     output_tokens: int
     deadline: float
-    received: float
+    received_at: float
     stoppable: bool = False
     prefixes: tuple[int, ...] = ()
     avoid: tuple[str, ...] = ()
-    due: float = 0.0
+    first_token_due: float = 0.0
     data_centre: str = ""
-    ends: float = 0.0
+    answer_due: float = 0.0
     identity: int = 0
     suspect: int = 0
-    resting: tuple[str, ...] = ()
+    avoided_by_backoff: tuple[str, ...] = ()
     route: str = ""
 
 
@@ -192,21 +192,21 @@
     ----------
     slowness : dict of str to float
         Slowness factor by name of target.
-    first, token : float
+    base_seconds, seconds_per_prompt_token : float
         Seconds to the first token, and seconds of prefill per prompt token; 0 if not
         known.
-    share : float
+    prefill_chunk_s : float
         Seconds of prefill that a target does between two stream events; 0 if not
         known.
-    old : bool
+    is_fallback : bool
         Whether they only fill in for estimates that are not known yet.
     """
 
     slowness: dict[str, float]
-    first: float = 0.0
-    token: float = 0.0
-    share: float = 0.0
-    old: bool = False
+    base_seconds: float = 0.0
+    seconds_per_prompt_token: float = 0.0
+    prefill_chunk_s: float = 0.0
+    is_fallback: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -241,7 +241,7 @@
     not known.
     """
 
-    doubtful: bool
+    is_suspected: bool
 
 
 @dataclass(frozen=True, slots=True)
--- a/hibiscusstep/routing/policy_dispatcher.py
+++ b/hibiscusstep/routing/policy_dispatcher.py
@@ -159,7 +159,7 @@
 
     @_update_state.register
     def _suspect_partition(self, message: m.SuspectPartition, now: float) -> None:
-        self._partition_suspected = message.doubtful
+        self._partition_suspected = message.is_suspected
 
     @_update_state.register
     def _instance_gone(self, message: m.InstanceGone, now: float) -> None:
@@ -287,7 +287,7 @@
 
     def _grant_first_come(self, available, usable_targets, now: float) -> bool:
         heads = [
-            (queued.work.received, queued, queue)
+            (queued.work.received_at, queued, queue)
             for queue in self._queues.values()
             for queued in queue.candidates(now, self._below_max_running)
         ]
@@ -336,12 +336,12 @@
         self._target_by_ask[work.ask] = target.name
         self._running_by_customer[work.customer] += 1
         self.counts.granted += 1
-        wait = round(now - work.received, 4)
+        wait = round(now - work.received_at, 4)
         self._decisions.append(m.Grant(work, target.name, wait, candidates_s))
 
     def _check_on_arrival(self, queued: QueuedRequest, now: float) -> None:
         """Refuse a new request at once if it cannot meet its deadline."""
-        if queued.latest_start <= queued.work.received:
+        if queued.latest_start <= queued.work.received_at:
             self._refuse_waiting(queued, m.RefusalReason.IMPOSSIBLE, now)
         elif all(t.drained or t.leaving for t in self._targets.values()):
             self._refuse_waiting(queued, m.RefusalReason.NO_TARGET, now)
--- a/hibiscusstep/routing/queue.py
+++ b/hibiscusstep/routing/queue.py
@@ -102,7 +102,7 @@
         if not customer.count:
             served_on_return = max(self._served[work.customer], self._virtual_time)
             self._served[work.customer] = served_on_return
-        aged_cost = work.received + queued.cost if self._fair else 0.0
+        aged_cost = work.received_at + queued.cost if self._fair else 0.0
         heapq.heappush(customer.heaps[queued.long], (aged_cost, arrival_number, queued))
         heapq.heappush(
             self._by_latest_start, (queued.latest_start, arrival_number, queued)
--- a/hibiscusstep/routing/slot_dispatcher.py
+++ b/hibiscusstep/routing/slot_dispatcher.py
@@ -201,7 +201,9 @@
         idle_seconds = self._selector.min_slowness * self._selector.first_token_seconds(
             work
         )
-        late = self._switches.late_last and 0 < work.due < now + idle_seconds
+        late = (
+            self._switches.late_last and 0 < work.first_token_due < now + idle_seconds
+        )
         bound = self._selector.serve_time_bound(work)
         deadline = wait_deadline(work, bound, late, self._switches)
         self._queue.add(work, self._selector.service_seconds(work), deadline, late)
@@ -252,7 +254,7 @@
                 self._remove_request(ask, now)
 
     def _import_estimates(self, message: m.LearnedEstimates, now: float) -> None:
-        if not message.old:
+        if not message.is_fallback:
             self._imported_slowness = {}
         elif self.learned_estimates:
             return
@@ -348,7 +350,7 @@
             work = self._queue[skipped]
             if not self._try_grant(work, now):
                 skipped += 1
-                if work.suspect or work.resting:
+                if work.suspect or work.avoided_by_backoff:
                     # A request that may not run on the available targets does not block
                     # those behind it.
                     limit = min(MAX_EXAMINED_RESTRICTED, limit + 1)
@@ -381,8 +383,10 @@
             return True
         free, worth_waiting = self._candidates(work, now)
         free = exclude_suspect_targets(work, free, self._targets.values())
-        if work.resting:
-            free = [target for target in free if target.name not in work.resting]
+        if work.avoided_by_backoff:
+            free = [
+                target for target in free if target.name not in work.avoided_by_backoff
+            ]
         if not free:
             return False
         target = self._selector.choose(work, free, worth_waiting, now)
@@ -414,7 +418,7 @@
         self._rank_floor.record_grant(work.rank, now)
         costs = self._selector.candidate_costs(work, free, now)
         self._start(target, work, now)
-        wait = round(now - work.received, 4)
+        wait = round(now - work.received_at, 4)
         self._decisions.append(m.Grant(work, target.name, wait, costs))
 
     def _start(self, target: SlotTarget, work: m.Work, now: float) -> None:
--- a/hibiscusstep/routing/slot_queue.py
+++ b/hibiscusstep/routing/slot_queue.py
@@ -104,7 +104,7 @@
             Whether it can no longer be served in time.
         """
         number = next(self._sequence)
-        entry = (work.rank, late, work.received, number, work)
+        entry = (work.rank, late, work.received_at, number, work)
         self._order.add(entry)
         self._by_ask[work.ask] = _QueuedRequest(entry, cost, deadline)
         self._backlog[entry[:2]] += cost
@@ -163,7 +163,7 @@
     def record(self, work: Work) -> None:
         """Record a refused request with the time of its first attempt."""
         if work.identity:
-            self._first_received.setdefault(work.identity, work.received)
+            self._first_received.setdefault(work.identity, work.received_at)
 
     def with_original_due(self, work: Work, now: float) -> Work:
         """Return the request; a retry with the due time of its first attempt."""
@@ -173,6 +173,8 @@
                 break
             del self._first_received[identity]
         first = self._first_received.get(work.identity)
-        if first is None or not work.due:
+        if first is None or not work.first_token_due:
             return work
-        return replace(work, due=work.due - (work.received - first))
+        return replace(
+            work, first_token_due=work.first_token_due - (work.received_at - first)
+        )
--- a/hibiscusstep/routing/target_selector.py
+++ b/hibiscusstep/routing/target_selector.py
@@ -88,10 +88,13 @@
 
     def import_estimates(self, imported: m.LearnedEstimates) -> None:
         """Use another dispatcher's estimates where there are no observations."""
-        if imported.token and not self._model.observations:
-            self._model.reset(imported.first, imported.token)
-        if imported.share and self._prefill_chunk.max_seconds == UNKNOWN_CHUNK_S:
-            self._prefill_chunk.max_seconds = imported.share
+        if imported.seconds_per_prompt_token and not self._model.observations:
+            self._model.reset(imported.base_seconds, imported.seconds_per_prompt_token)
+        if (
+            imported.prefill_chunk_s
+            and self._prefill_chunk.max_seconds == UNKNOWN_CHUNK_S
+        ):
+            self._prefill_chunk.max_seconds = imported.prefill_chunk_s
 
     def record_first_token(self, target: SlotTarget, run: Run, seconds: float) -> None:
         """Update the estimates by a first token, `seconds` after the dispatch."""
@@ -202,7 +205,7 @@
         if not self._is_engine:
             return min(others, key=lambda t: t.cost(own))
         best = min(others, key=lambda t: self._weighted_cost(t, work, own, now))
-        overdue = not work.due and now >= work.deadline
+        overdue = not work.first_token_due and now >= work.deadline
         if overdue or self._serves_in_time([best], work, now):
             return best
         if self._serves_in_time(usable, work, now):
@@ -240,10 +243,10 @@
         """
         prefill = self._model.prefill_seconds(work.prompt_tokens)
         until_first_token = prefill + self._model.base_seconds
-        due = work.due or math.inf
+        due = work.first_token_due or math.inf
         ends, decoding = math.inf, 0.0
-        if work.ends and self._switches.answer_end:
-            ends = work.ends
+        if work.answer_due and self._switches.answer_end:
+            ends = work.answer_due
             decoding = (
                 self._answer_lengths.upper_bound(work.output_tokens) * ENGINE_STEP_S
             )
@@ -282,11 +285,11 @@
         price = target.cost(own)
         if target.data_centre != work.data_centre:
             price += REMOTE_COST_S
-        if work.due:
+        if work.first_token_due:
             late = (
                 now
                 + target.slowness * (prefill_seconds + self._model.base_seconds)
-                - work.due
+                - work.first_token_due
             )
             if late > 0:
                 price += LATENESS_WEIGHT * late
--- a/hibiscusstep/routing/version_partition.py
+++ b/hibiscusstep/routing/version_partition.py
@@ -135,7 +135,7 @@
         else:
             free = self._next_canary(now)
             worth_waiting = []
-        excluded = {*work.resting, *work.avoid}
+        excluded = {*work.avoided_by_backoff, *work.avoid}
         free = [target for target in free if target.name not in excluded]
         if not free:
             return None
--- a/hibiscusstep/routing/wait_limits.py
+++ b/hibiscusstep/routing/wait_limits.py
@@ -34,14 +34,14 @@
     switches : Switches
         The enabled mechanisms.
     """
-    if not work.due:
+    if not work.first_token_due:
         return work.deadline
     if late:
         wait = min(MAX_LATE_WAIT_S, LATE_WAIT_SHARE * _remaining_time(work))
-        return max(work.deadline, work.received + wait)
+        return max(work.deadline, work.received_at + wait)
     if not switches.useful_wait:
         return work.deadline
-    return max(work.received, work.due - serve_seconds)
+    return max(work.received_at, work.first_token_due - serve_seconds)
 
 
 def retry_after(wait: float) -> float:
@@ -51,4 +51,4 @@
 
 def _remaining_time(work: m.Work) -> float:
     """Return the seconds that the caller had left when its request was received."""
-    return max(0.0, work.ends - work.received) if work.ends else 0.0
+    return max(0.0, work.answer_due - work.received_at) if work.answer_due else 0.0
--- a/tests/test_policy_dispatcher.py
+++ b/tests/test_policy_dispatcher.py
@@ -62,7 +62,7 @@
         prompt_tokens=fields.pop("prompt_tokens", 10),
         output_tokens=fields.pop("output_tokens", 10),
         deadline=now + deadline,
-        received=now,
+        received_at=now,
         stoppable=fields.pop("stoppable", tier == "low"),
         **fields,
     )
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -368,7 +368,18 @@
 def _work(number, now, **fields):
     ask = f"a{number}"
     return m.Work(
-        ask, ask, "i", "c", "0", 0, 0, 1, now + 9.0, now, due=now + 9, **fields
+        ask,
+        ask,
+        "i",
+        "c",
+        "0",
+        0,
+        0,
+        1,
+        now + 9.0,
+        now,
+        first_token_due=now + 9,
+        **fields,
     )
 
 
--- a/tests/test_saturated_plain_service.py
+++ b/tests/test_saturated_plain_service.py
@@ -65,7 +65,7 @@
             m.RequestGrant(
                 m.Work(
                     ask, ask, "i", "c", "0", 0, 0, 1, now + OBJECTIVE_S / 4, now,
-                    due=now + OBJECTIVE_S, ends=received + DEADLINE_S,
+                    first_token_due=now + OBJECTIVE_S, answer_due=received + DEADLINE_S,
                 )
             )
         )  # fmt: skip
--- a/tests/test_slot_dispatcher.py
+++ b/tests/test_slot_dispatcher.py
@@ -79,7 +79,17 @@
         dispatcher.handle(m.RequestGrant(_work("busy")), 0.0)
         for ask, rank, due in (("back", 1, 0.05), ("fresh", 1, 0.6), ("lower", 2, 5.0)):
             work = m.Work(
-                ask, ask, "i", "c", str(rank), rank, 500, 100, 9.0, 0.1, due=due
+                ask,
+                ask,
+                "i",
+                "c",
+                str(rank),
+                rank,
+                500,
+                100,
+                9.0,
+                0.1,
+                first_token_due=due,
             )
             dispatcher.handle(m.RequestGrant(work), 0.1)
         order = []
@@ -358,12 +368,36 @@
         """A late request waits longer and must not hide that the queue is too long."""
         dispatcher = _dispatcher((1,))
         dispatcher.handle(m.RequestGrant(_work("a", tokens=1000)), 0.0)
-        late = m.Work("l", "l", "i", "c", "2", 2, 500, 10, 0.5, 0.3, due=0.1, ends=9.0)
+        late = m.Work(
+            "l",
+            "l",
+            "i",
+            "c",
+            "2",
+            2,
+            500,
+            10,
+            0.5,
+            0.3,
+            first_token_due=0.1,
+            answer_due=9.0,
+        )
         assert dispatcher.handle(m.RequestGrant(late), 0.3) == []
         refused = []
         for n in range(6):
             work = m.Work(
-                f"b{n}", f"b{n}", "i", "c", "1", 1, 500, 400, 0.5, 0.3, due=1.1, ends=9
+                f"b{n}",
+                f"b{n}",
+                "i",
+                "c",
+                "1",
+                1,
+                500,
+                400,
+                0.5,
+                0.3,
+                first_token_due=1.1,
+                answer_due=9,
             )
             refused += dispatcher.handle(m.RequestGrant(work), 0.3)
         assert "l" in {refusal.work.ask for refusal in refused}
@@ -399,7 +433,9 @@
             busy = m.Work(f"b{n}", "r", "i", "c", "0", 0, 1, 50, 99.0, 50.0)
             dispatcher.handle(m.RequestGrant(busy), 50.0)
             dispatcher.handle(m.FirstToken(f"b{n}", 0.02), 50.0)
-        long = m.Work("c", "r", "i", "c", "0", 0, 9000, 50, 50.3, 50.1, due=50.6)
+        long = m.Work(
+            "c", "r", "i", "c", "0", 0, 9000, 50, 50.3, 50.1, first_token_due=50.6
+        )
         assert _grants(dispatcher.handle(m.RequestGrant(long), 50.1)) == {"c": "t1"}
 
     def test_is_not_started_where_it_would_end_late(self):
@@ -408,7 +444,18 @@
         dispatcher.handle(m.LearnedEstimates({"t0": 1.0, "t1": 5.0}), 0.0)
         dispatcher.handle(m.RequestGrant(_work("a")), 0.0)
         work = m.Work(
-            "b", "b", "i", "c", "0", 0, 500, 850, 0.5, 0.0, due=1.0, ends=12.0
+            "b",
+            "b",
+            "i",
+            "c",
+            "0",
+            0,
+            500,
+            850,
+            0.5,
+            0.0,
+            first_token_due=1.0,
+            answer_due=12.0,
         )
         assert dispatcher.handle(m.RequestGrant(work), 0.0) == []
         done = m.Finished("a", m.GrantOutcome.DONE, 10, 0.1)
@@ -421,12 +468,14 @@
         dispatcher = SlotDispatcher("p", plan)
         dispatcher.handle(m.Recovered(), 0.0)
         slowness = {"fast": 1.0, "slow": 5.0}
-        dispatcher.handle(m.LearnedEstimates(slowness, 0.02, 9e-6, share=0.15), 0.0)
+        dispatcher.handle(
+            m.LearnedEstimates(slowness, 0.02, 9e-6, prefill_chunk_s=0.15), 0.0
+        )
 
         def ask(name, prompt, now, due):
             work = m.Work(
-                name, name, "i", "c", "0", 0, prompt, 50, now + 0.2, now, due=due,
-                ends=now + 15.0,
+                name, name, "i", "c", "0", 0, prompt, 50, now + 0.2, now, first_token_due=due,
+                answer_due=now + 15.0,
             )  # fmt: skip
             return _grants(dispatcher.handle(m.RequestGrant(work), now))
 
@@ -443,10 +492,22 @@
         dispatcher.handle(m.LearnedEstimates({"t0": 1.0, "t1": 8.0}), 0.0)
         dispatcher.handle(m.RequestGrant(_work("a")), 0.0)
         work = m.Work(
-            "b", "b", "i", "c", "0", 0, 20_000, 50, deadline=0.8, received=0.0, due=1.0
+            "b",
+            "b",
+            "i",
+            "c",
+            "0",
+            0,
+            20_000,
+            50,
+            deadline=0.8,
+            received_at=0.0,
+            first_token_due=1.0,
         )
         assert dispatcher.handle(m.RequestGrant(work), 0.0) == []
-        short = m.Work("c", "c", "i", "c", "1", 1, 10, 50, 0.8, 0.0, due=1.0)
+        short = m.Work(
+            "c", "c", "i", "c", "1", 1, 10, 50, 0.8, 0.0, first_token_due=1.0
+        )
         assert _grants(dispatcher.handle(m.RequestGrant(short), 0.1)) == {"c": "t1"}
         done = m.Finished("a", m.GrantOutcome.DONE, 10, 0.1)
         assert _grants(dispatcher.handle(done, 0.3)) == {"b": "t0"}
--- a/tests/test_suspect_isolation.py
+++ b/tests/test_suspect_isolation.py
@@ -72,11 +72,11 @@
     def test_are_not_granted_to_the_instance_that_reported_them(self):
         dispatcher = _dispatcher(2)
         work = m.Work(
-            "a", "a", "i", "c", "0", 0, 500, 100, 100.0, 1.0, resting=("t0",)
+            "a", "a", "i", "c", "0", 0, 500, 100, 100.0, 1.0, avoided_by_backoff=("t0",)
         )  # fmt: skip
         assert _grants(dispatcher.handle(m.RequestGrant(work), 1.0)) == {"a": "t1"}
         both = m.Work(
-            "b", "b", "i", "c", "0", 0, 500, 100, 100.0, 1.0, resting=("t0", "t1")
+            "b", "b", "i", "c", "0", 0, 500, 100, 100.0, 1.0, avoided_by_backoff=("t0", "t1")
         )  # fmt: skip
         assert _grants(dispatcher.handle(m.RequestGrant(both), 1.0)) == {}
         assert _ask(dispatcher, "another's").keys() == {"another's"}
--- a/tests/test_target_estimates.py
+++ b/tests/test_target_estimates.py
@@ -93,7 +93,9 @@
 class TestDispatcher:
     """Stored values are used until the dispatcher has its own estimates."""
 
-    _STORED = m.LearnedEstimates({"t0": 1.0, "t1": 5.0}, 0.03, 1e-5, 0.15, old=True)
+    _STORED = m.LearnedEstimates(
+        {"t0": 1.0, "t1": 5.0}, 0.03, 1e-5, 0.15, is_fallback=True
+    )
 
     def _dispatcher(self, *names):
         targets = {name: PlannedTarget(4) for name in names}
@@ -104,7 +106,17 @@
 
     def _ask(self, dispatcher, ask, prompt, now):
         work = m.Work(
-            ask, ask, "i", "c", "0", 0, prompt, 100, now + 0.2, now, due=now + 0.8
+            ask,
+            ask,
+            "i",
+            "c",
+            "0",
+            0,
+            prompt,
+            100,
+            now + 0.2,
+            now,
+            first_token_due=now + 0.8,
         )
         (grant,) = dispatcher.handle(m.RequestGrant(work), now)
         return grant.target
--- a/tests/test_target_subset.py
+++ b/tests/test_target_subset.py
@@ -55,7 +55,7 @@
         dispatcher = SlotDispatcher("p", plan, standalone_instance=instance)
         dispatcher.capacity_share = 2 / 100
         slowness = {name: SLOWNESS[n % 3] for n, name in enumerate(targets)}
-        dispatcher.handle(m.LearnedEstimates(slowness, old=True), 0.0)
+        dispatcher.handle(m.LearnedEstimates(slowness, is_fallback=True), 0.0)
         dispatcher.handle(m.Recovered(), 0.0)
         decisions = []
         for n in range(asks):
