--- a/hibiscusstep/load/pool_emulator.py
+++ b/hibiscusstep/load/pool_emulator.py
@@ -278,7 +278,8 @@
         return m.Work(
             request.ask, request.ask, request.instance, "c", str(kind.rank), kind.rank,
             request.prompt, request.hint, asked + PATIENCE * kind.objective, asked,
-            first_token_due=asked + kind.objective, answer_due=request.began + kind.deadline,
+            first_token_due=asked + kind.objective,
+            answer_due=request.began + kind.deadline,
             identity=request.number + 1,
         )  # fmt: skip
 
--- a/hibiscusstep/load/rollout_emulator.py
+++ b/hibiscusstep/load/rollout_emulator.py
@@ -236,8 +236,8 @@
             ask, ask, f"i{instance}", "c", "0", 0,
             PROMPT_TOKENS if scenario.engine else 0,
             max(1, round(size)) if scenario.engine else 1, now + 1.5, now,
-            first_token_due=now + 1.5, data_centre="z", answer_due=now + CALLER_TIMEOUT_S,
-            route=route.name,
+            first_token_due=now + 1.5, data_centre="z",
+            answer_due=now + CALLER_TIMEOUT_S, route=route.name,
         )  # fmt: skip
         self._requests[ask] = route, size, ""
         self._result.asked += 1
--- a/hibiscusstep/routing/grant_monitor.py
+++ b/hibiscusstep/routing/grant_monitor.py
@@ -30,9 +30,9 @@
     """A granted request: its instance and the time of its next check."""
 
     instance: str
-    at: float
+    check_at: float
     overdue: bool = False
-    asked: bool = False
+    inquired: bool = False
 
 
 @dataclass(slots=True)
@@ -99,8 +99,8 @@
         """Mark requests as held, as reported by their instance."""
         for ask in asks:
             grant = self._grants.get(ask)
-            if grant and grant.asked:
-                grant.asked = False
+            if grant and grant.inquired:
+                grant.inquired = False
                 self._schedule_check(ask, now + INQUIRY_INTERVAL_S)
 
     def check(self, now: float) -> CheckResult:
@@ -111,14 +111,14 @@
             self._extend_inquiries(now)
         result = CheckResult()
         while self._checks and self._checks[0][0] <= now:
-            at, _number, ask = heapq.heappop(self._checks)
+            check_at, _number, ask = heapq.heappop(self._checks)
             grant = self._grants.get(ask)
-            if grant is None or grant.at != at:
+            if grant is None or grant.check_at != check_at:
                 continue
-            if grant.asked:
+            if grant.inquired:
                 result.lost.append(ask)
                 continue
-            grant.overdue = grant.asked = True
+            grant.overdue = grant.inquired = True
             result.instances.add(grant.instance)
             self._schedule_check(ask, now + ANSWER_TIMEOUT_S)
         return result
@@ -126,12 +126,12 @@
     def _extend_inquiries(self, now: float) -> None:
         """Restart the answer timeout of all pending inquiries."""
         for ask, grant in self._grants.items():
-            if grant.asked:
+            if grant.inquired:
                 self._schedule_check(ask, now + ANSWER_TIMEOUT_S)
 
-    def _schedule_check(self, ask: str, at: float) -> None:
-        self._grants[ask].at = at
-        heapq.heappush(self._checks, (at, next(self._sequence), ask))
+    def _schedule_check(self, ask: str, check_at: float) -> None:
+        self._grants[ask].check_at = check_at
+        heapq.heappush(self._checks, (check_at, next(self._sequence), ask))
 
 
 class LostRequests:
--- a/hibiscusstep/routing/slot_dispatcher.py
+++ b/hibiscusstep/routing/slot_dispatcher.py
@@ -426,7 +426,7 @@
         run = Run(
             work, now, selector.service_seconds(work), selector.prefill_seconds(work)
         )
-        run.expected_first = target.remaining_prefill(
+        run.expected_first_token = target.remaining_prefill(
             now
         ) + selector.first_token_seconds(work)
         target.add(work.ask, run)
--- a/hibiscusstep/routing/slot_queue.py
+++ b/hibiscusstep/routing/slot_queue.py
@@ -22,7 +22,7 @@
 class _QueuedRequest:
     """A queued request with its sort key, estimated seconds and deadline."""
 
-    entry: tuple[int, bool, float, int, Work]
+    sort_key: tuple[int, bool, float, int, Work]
     cost: float
     deadline: float
 
@@ -50,7 +50,7 @@
 
     def __iter__(self) -> Iterator[Work]:
         """Iterate over the queued requests in order."""
-        return (entry[-1] for entry in self._order)
+        return (sort_key[-1] for sort_key in self._order)
 
     def __getitem__(self, position: int) -> Work:
         """Return the request at a position of the queue."""
@@ -59,7 +59,7 @@
     def get(self, ask: str) -> Work | None:
         """Return a queued request; None if it is not queued."""
         queued = self._by_ask.get(ask)
-        return queued.entry[-1] if queued else None
+        return queued.sort_key[-1] if queued else None
 
     def first_of_rank(self, rank: int) -> Work | None:
         """Return the first request of a rank; None if there is none."""
@@ -81,8 +81,8 @@
 
     def position_in_rank(self, ask: str) -> int:
         """Return the number of requests of the same rank before a queued request."""
-        entry = self._by_ask[ask].entry
-        return self._order.bisect_left(entry) - self._order.bisect_left(entry[:1])
+        sort_key = self._by_ask[ask].sort_key
+        return self._order.bisect_left(sort_key) - self._order.bisect_left(sort_key[:1])
 
     @property
     def count_by_tier(self) -> dict[str, int]:
@@ -104,10 +104,10 @@
             Whether it can no longer be served in time.
         """
         number = next(self._sequence)
-        entry = (work.rank, late, work.received_at, number, work)
-        self._order.add(entry)
-        self._by_ask[work.ask] = _QueuedRequest(entry, cost, deadline)
-        self._backlog[entry[:2]] += cost
+        sort_key = (work.rank, late, work.received_at, number, work)
+        self._order.add(sort_key)
+        self._by_ask[work.ask] = _QueuedRequest(sort_key, cost, deadline)
+        self._backlog[sort_key[:2]] += cost
         heapq.heappush(self._deadlines, (deadline, number, work.ask))
 
     def remove(self, ask: str) -> Work | None:
@@ -115,9 +115,9 @@
         queued = self._by_ask.pop(ask, None)
         if queued is None:
             return None
-        self._order.remove(queued.entry)
-        self._backlog[queued.entry[:2]] -= queued.cost
-        return queued.entry[-1]
+        self._order.remove(queued.sort_key)
+        self._backlog[queued.sort_key[:2]] -= queued.cost
+        return queued.sort_key[-1]
 
     def seconds_ahead(self, ask: str) -> float:
         """Return the estimated seconds of the requests before a queued request.
@@ -126,7 +126,7 @@
         before count, since few requests of its class are behind it.
         """
         queued = self._by_ask[ask]
-        own_class = queued.entry[:2]
+        own_class = queued.sort_key[:2]
         total = sum(
             cost for priority, cost in self._backlog.items() if priority <= own_class
         )
@@ -141,8 +141,8 @@
         while self._deadlines and self._deadlines[0][0] <= now:
             _deadline, number, ask = heapq.heappop(self._deadlines)
             queued = self._by_ask.get(ask)
-            if queued and queued.entry[3] == number:
-                yield queued.entry[-1]
+            if queued and queued.sort_key[3] == number:
+                yield queued.sort_key[-1]
 
 
 class RefusedRequests:
--- a/hibiscusstep/routing/slot_target.py
+++ b/hibiscusstep/routing/slot_target.py
@@ -44,32 +44,32 @@
         The request.
     granted : float
         When it was granted, on the dispatcher's clock.
-    cost, prefill : float
+    service_seconds, prefill_seconds : float
         Estimated seconds of the request, and of its prefill, at slowness 1.
-    began : bool
+    has_first_token : bool
         Whether its first token has arrived.
-    alone : bool
+    prefilled_alone : bool
         Whether no other prefill ran at the target before its first token.
-    expected_first : float
+    expected_first_token : float
         Estimated seconds to its first token at slowness 1.
-    beside : float
+    max_concurrent_prefill : float
         Maximum estimated seconds of prefill pending at the target while it ran.
     adopted : bool
         Whether another dispatcher granted it, some time before `granted`.
-    loaded : bool
+    target_loaded : bool
         Whether most of the target's slots were taken when it was granted.
     """
 
     work: m.Work
     granted: float
-    cost: float
-    prefill: float
-    began: bool = False
-    alone: bool = True
-    expected_first: float = 1.0
-    beside: float = 0.0
+    service_seconds: float
+    prefill_seconds: float
+    has_first_token: bool = False
+    prefilled_alone: bool = True
+    expected_first_token: float = 1.0
+    max_concurrent_prefill: float = 0.0
     adopted: bool = False
-    loaded: bool = False
+    target_loaded: bool = False
 
 
 @dataclass(slots=True, eq=False)
@@ -124,15 +124,19 @@
 
     def add(self, ask: str, run: Run) -> None:
         """Add a granted request."""
-        prefilling = [other for other in self.running.values() if not other.began]
+        prefilling = [
+            other for other in self.running.values() if not other.has_first_token
+        ]
         for other in prefilling:
-            other.alone = False
-        pending_prefill = self.remaining_prefill(run.granted) + run.prefill
+            other.prefilled_alone = False
+        pending_prefill = self.remaining_prefill(run.granted) + run.prefill_seconds
         for other in self.running.values():
-            other.beside = max(other.beside, pending_prefill)
-        run.alone = not prefilling
+            other.max_concurrent_prefill = max(
+                other.max_concurrent_prefill, pending_prefill
+            )
+        run.prefilled_alone = not prefilling
         self.running[ask] = run
-        run.loaded = len(self.running) >= LOADED_SHARE * self.slots
+        run.target_loaded = len(self.running) >= LOADED_SHARE * self.slots
         self._invalidate()
 
     def remove(self, ask: str) -> Run | None:
@@ -145,12 +149,14 @@
         """Mark a request's prefill as done; None if it does not run here."""
         run = self.running.get(ask)
         if run:
-            run.began = True
+            run.has_first_token = True
             self._invalidate()
         return run
 
     def _invalidate(self) -> None:
-        self._running_seconds = sum(run.cost for run in self.running.values())
+        self._running_seconds = sum(
+            run.service_seconds for run in self.running.values()
+        )
         self._remaining_prefill_at = -1.0
 
     def usable(self, now: float) -> bool:
@@ -181,9 +187,9 @@
         if now != self._remaining_prefill_at:
             self._remaining_prefill_at = now
             self._remaining_prefill = sum(
-                max(0.0, run.prefill - (now - run.granted) / self.slowness)
+                max(0.0, run.prefill_seconds - (now - run.granted) / self.slowness)
                 for run in self.running.values()
-                if not run.began
+                if not run.has_first_token
             )
         return self._remaining_prefill
 
--- a/hibiscusstep/routing/target_index.py
+++ b/hibiscusstep/routing/target_index.py
@@ -33,12 +33,12 @@
 
     target: SlotTarget
     number: int
-    centre: str = ""
+    data_centre: str = ""
     slots: int = 0
-    staying: bool = False
-    fit: bool = False
-    room: tuple[float, int] | None = None
-    pace: tuple[float, int] | None = None
+    is_staying: bool = False
+    is_healthy: bool = False
+    cost_key: tuple[float, int] | None = None
+    slowness_key: tuple[float, int] | None = None
 
 
 class TargetIndex:
@@ -78,19 +78,19 @@
         entry = self._entries.get(target.name)
         if entry is None:
             return
-        if entry.fit and target.usable(now) and self._is_config_current(entry):
+        if entry.is_healthy and target.usable(now) and self._is_config_current(entry):
             self._reposition(entry)
             return
         self._unlink(entry)
         if target.leaving:
             return
         self._staying_count += 1
-        entry.staying = True
-        entry.slots, entry.centre = target.slots, target.data_centre
+        entry.is_staying = True
+        entry.slots, entry.data_centre = target.slots, target.data_centre
         if now < target.backoff_until:
             heapq.heappush(self._backoffs, (target.backoff_until, entry.number))
             return
-        entry.fit = True
+        entry.is_healthy = True
         self._healthy_count += 1
         self._slots += target.slots
         self._reposition(entry)
@@ -98,45 +98,45 @@
     def _reposition(self, entry: _Entry) -> None:
         """Move a healthy target to its current position in the sorted lists."""
         target = entry.target
-        pace = target.slowness, entry.number
-        if pace != entry.pace:
-            if entry.pace:
-                self._by_slowness.remove(entry.pace)
-            self._by_slowness.add(pace)
-            entry.pace = pace
-        room = (
+        slowness_key = target.slowness, entry.number
+        if slowness_key != entry.slowness_key:
+            if entry.slowness_key:
+                self._by_slowness.remove(entry.slowness_key)
+            self._by_slowness.add(slowness_key)
+            entry.slowness_key = slowness_key
+        cost_key = (
             (target.cost(TYPICAL_REQUEST_S), entry.number)
             if target.unassigned_slots > 0
             else None
         )
-        if room != entry.room:
-            if entry.room:
-                self._by_cost[entry.centre].remove(entry.room)
-            if room:
-                self._by_cost[entry.centre].add(room)
-            entry.room = room
+        if cost_key != entry.cost_key:
+            if entry.cost_key:
+                self._by_cost[entry.data_centre].remove(entry.cost_key)
+            if cost_key:
+                self._by_cost[entry.data_centre].add(cost_key)
+            entry.cost_key = cost_key
 
     def _unlink(self, entry: _Entry) -> None:
-        self._staying_count -= entry.staying
-        if entry.fit:
+        self._staying_count -= entry.is_staying
+        if entry.is_healthy:
             self._healthy_count -= 1
             self._slots -= entry.slots
-            self._by_slowness.remove(entry.pace)
-        if entry.room:
-            self._by_cost[entry.centre].remove(entry.room)
-        entry.staying = entry.fit = False
-        entry.room = entry.pace = None
+            self._by_slowness.remove(entry.slowness_key)
+        if entry.cost_key:
+            self._by_cost[entry.data_centre].remove(entry.cost_key)
+        entry.is_staying = entry.is_healthy = False
+        entry.cost_key = entry.slowness_key = None
 
     def _is_config_current(self, entry: _Entry) -> bool:
         target = entry.target
-        return (entry.slots, entry.centre) == (target.slots, target.data_centre)
+        return (entry.slots, entry.data_centre) == (target.slots, target.data_centre)
 
     def _end_backoffs(self, now: float) -> None:
         """Add the targets whose backoff has ended."""
         while self._backoffs and self._backoffs[0][0] <= now:
             _until, number = heapq.heappop(self._backoffs)
             target = self._by_number.get(number)
-            if target and not self._entries[target.name].fit:
+            if target and not self._entries[target.name].is_healthy:
                 self.update(target, now)
 
     def _in_panic_mode(self, now: float) -> bool:
@@ -162,12 +162,12 @@
         """Return whether a usable target seems to have a free slot."""
         return self._in_panic_mode(now) or any(self._by_cost.values())
 
-    def candidates(self, centre: str, now: float) -> list[SlotTarget]:
+    def candidates(self, data_centre: str, now: float) -> list[SlotTarget]:
         """Return the targets with a free slot to evaluate for a request.
 
         Parameters
         ----------
-        centre : str
+        data_centre : str
             Data centre of the request.
         now : float
             Seconds on the dispatcher's clock.
@@ -177,9 +177,11 @@
         else:
             targets = [
                 self._by_number[number]
-                for name, room in self._by_cost.items()
-                for _cost, number in room[
-                    : MAX_LOCAL_CANDIDATES if name == centre else MAX_REMOTE_CANDIDATES
+                for name, by_cost in self._by_cost.items()
+                for _cost, number in by_cost[
+                    : MAX_LOCAL_CANDIDATES
+                    if name == data_centre
+                    else MAX_REMOTE_CANDIDATES
                 ]
             ]
         return [target for target in targets if target.available_slots(now) > 0]
--- a/hibiscusstep/routing/target_selector.py
+++ b/hibiscusstep/routing/target_selector.py
@@ -101,8 +101,8 @@
         if not self._is_engine:
             return
         if not target.observations:
-            target.observe_first_token(seconds / run.expected_first)
-        elif run.alone and self._switches.engine_model:
+            target.observe_first_token(seconds / run.expected_first_token)
+        elif run.prefilled_alone and self._switches.engine_model:
             self._model.observe(run.work.prompt_tokens, seconds / target.slowness)
 
     def prefill_seconds(self, work: m.Work) -> float:
@@ -153,7 +153,11 @@
         if not self._is_engine:
             return (now - run.granted) / PLAIN_REQUEST_S
         steps = tokens * self._tokens_per_event
-        expected = run.expected_first + steps * ENGINE_STEP_S if steps else run.cost
+        expected = (
+            run.expected_first_token + steps * ENGINE_STEP_S
+            if steps
+            else run.service_seconds
+        )
         return (now - run.granted) / max(ENGINE_STEP_S, expected)
 
     def running_time_ratio(self, run: Run, now: float) -> float:
@@ -165,7 +169,7 @@
         if not self._is_engine:
             return (now - run.granted) / PLAIN_REQUEST_S
         tokens = self._answer_lengths.upper_bound(run.work.output_tokens)
-        expected = run.expected_first + tokens * ENGINE_STEP_S
+        expected = run.expected_first_token + tokens * ENGINE_STEP_S
         return (now - run.granted) / max(ENGINE_STEP_S, expected)
 
     def record_answer(
@@ -174,7 +178,7 @@
         """Update the estimates by a complete answer."""
         target.record_success()
         if not self._is_engine:
-            ratio = (now - run.granted) / run.cost
+            ratio = (now - run.granted) / run.service_seconds
             self._service_times.observe(ratio / target.slowness)
             target.observe(ratio)
         elif finished.tokens >= MIN_EVENTS:
@@ -185,7 +189,7 @@
             if finished.longest_pause and self._switches.reading_share:
                 pause = finished.longest_pause / target.slowness
                 steps = self._tokens_per_event * ENGINE_STEP_S
-                self._prefill_chunk.observe(pause - steps, run.beside)
+                self._prefill_chunk.observe(pause - steps, run.max_concurrent_prefill)
         if self._is_engine and finished.tokens:
             tokens = finished.tokens * self._tokens_per_event
             self._answer_lengths.observe(run.work.output_tokens, tokens)
--- a/hibiscusstep/routing/version_partition.py
+++ b/hibiscusstep/routing/version_partition.py
@@ -178,7 +178,7 @@
             outcome is m.GrantOutcome.BROKEN,
             self._selector.time_ratio(run, finished.tokens, now),
             outcome is m.GrantOutcome.CANCELLED,
-            run.loaded,
+            run.target_loaded,
         )
         new = self._roles.get(target.name) is _Role.CANARY
         self.rollout.comparison.observe(answer, new=new, now=now)
@@ -195,7 +195,7 @@
                         failed=False,
                         ratio=ratio,
                         cut_short=True,
-                        loaded=run.loaded,
+                        loaded=run.target_loaded,
                     )
 
     def tick(
--- a/tests/test_slot_dispatcher.py
+++ b/tests/test_slot_dispatcher.py
@@ -154,9 +154,15 @@
                 target.mark_first_token(ask)
             at = now + 0.1
             runs = target.running.values()
-            left = [max(0.0, r.prefill - (at - r.granted)) for r in runs if not r.began]
+            left = [
+                max(0.0, r.prefill_seconds - (at - r.granted))
+                for r in runs
+                if not r.has_first_token
+            ]
             assert target.remaining_prefill(at) == sum(left)
-            assert target.cost(0.0) == pytest.approx(0.3 * sum(r.cost for r in runs))
+            assert target.cost(0.0) == pytest.approx(
+                0.3 * sum(r.service_seconds for r in runs)
+            )
 
 
 class TestLostCapacity:
@@ -474,8 +480,8 @@
 
         def ask(name, prompt, now, due):
             work = m.Work(
-                name, name, "i", "c", "0", 0, prompt, 50, now + 0.2, now, first_token_due=due,
-                answer_due=now + 15.0,
+                name, name, "i", "c", "0", 0, prompt, 50, now + 0.2, now,
+                first_token_due=due, answer_due=now + 15.0,
             )  # fmt: skip
             return _grants(dispatcher.handle(m.RequestGrant(work), now))
 
--- a/tests/test_suspect_isolation.py
+++ b/tests/test_suspect_isolation.py
@@ -76,7 +76,8 @@
         )  # fmt: skip
         assert _grants(dispatcher.handle(m.RequestGrant(work), 1.0)) == {"a": "t1"}
         both = m.Work(
-            "b", "b", "i", "c", "0", 0, 500, 100, 100.0, 1.0, avoided_by_backoff=("t0", "t1")
+            "b", "b", "i", "c", "0", 0, 500, 100, 100.0, 1.0,
+            avoided_by_backoff=("t0", "t1"),
         )  # fmt: skip
         assert _grants(dispatcher.handle(m.RequestGrant(both), 1.0)) == {}
         assert _ask(dispatcher, "another's").keys() == {"another's"}
