--- a/hibiscusstep/forwarding/crash_detector.py
+++ b/hibiscusstep/forwarding/crash_detector.py
@@ -22,29 +22,29 @@
 
     Parameters
     ----------
-    request : str
+    attempt_id : str
         ID of the attempt, for the log.
     fingerprint : int
         Fingerprint that all attempts of the request share.
-    began : float
+    started_at : float
         When the request was sent to the target, on the event loop's clock.
-    early : bool
+    before_first_event : bool
         Whether the connection ended before the first event of the answer.
     """
 
-    request: str
+    attempt_id: str
     fingerprint: int
-    began: float
-    early: bool
+    started_at: float
+    before_first_event: bool
 
 
 @dataclass(slots=True)
 class _TargetCheck:
     """A target with interrupted attempts, and whether it is known to have crashed."""
 
-    found_at: float = 0.0
+    first_interruption_at: float = 0.0
     crashed: bool = False
-    broken: list[InterruptedAttempt] = field(default_factory=list)
+    interrupted: list[InterruptedAttempt] = field(default_factory=list)
 
 
 class CrashDetector:
@@ -93,7 +93,7 @@
             task = asyncio.create_task(self._check_target(target, check))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-        check.broken.append(attempt)
+        check.interrupted.append(attempt)
 
     async def _check_target(
         self, target: DiscoveredTarget, check: _TargetCheck
@@ -107,17 +107,17 @@
             "target-crashed",
             target=target.name,
             address=target.address,
-            requests=[attempt.request for attempt in check.broken],
+            requests=[attempt.attempt_id for attempt in check.interrupted],
         )
-        self._on_crash(target.name, check.broken)
-        check.broken = []
+        self._on_crash(target.name, check.interrupted)
+        check.interrupted = []
 
     def forget_old(self, now: float) -> None:
         """Forget crashes that are older than `CRASH_MEMORY_S`."""
         self._checks = {
             name: check
             for name, check in self._checks.items()
-            if not check.crashed or now - check.found_at < CRASH_MEMORY_S
+            if not check.crashed or now - check.first_interruption_at < CRASH_MEMORY_S
         }
 
     def close(self) -> None:
--- a/hibiscusstep/forwarding/pool_versions.py
+++ b/hibiscusstep/forwarding/pool_versions.py
@@ -237,7 +237,7 @@
         )
 
     def planned_rollout(
-        self, pool: str, limits: ExposureLimits, lead: float
+        self, pool: str, limits: ExposureLimits, lead_s: float
     ) -> PlannedRollout | None:
         """Return the order that a pool's dispatcher is to carry out.
 
@@ -253,7 +253,7 @@
             order.version,
             entry.number,
             entry.began + order.duration,
-            lead,
+            lead_s,
             entry.serving == {order.version},
             limits,
             entry.progress,
--- a/hibiscusstep/forwarding/quarantine.py
+++ b/hibiscusstep/forwarding/quarantine.py
@@ -137,10 +137,10 @@
         now = _now()
         states = []
         for attempt in attempts:
-            weight = EARLY_WEIGHT if attempt.early else LATE_WEIGHT
+            weight = EARLY_WEIGHT if attempt.before_first_event else LATE_WEIGHT
             was_quarantined = self.is_quarantined(attempt.fingerprint)
             state = self._table.record_crash(
-                attempt.fingerprint, target, weight, attempt.began, now
+                attempt.fingerprint, target, weight, attempt.started_at, now
             )
             if state is None:
                 continue
@@ -150,7 +150,7 @@
                 "request-quarantined"
                 if is_quarantined_now and not was_quarantined
                 else "request-suspected",
-                request=attempt.request,
+                request=attempt.attempt_id,
                 fingerprint=f"{attempt.fingerprint:016x}",
                 target=target,
                 weight=weight,
--- a/hibiscusstep/forwarding/quarantine_status.py
+++ b/hibiscusstep/forwarding/quarantine_status.py
@@ -76,9 +76,11 @@
             self._quarantine.clear_request(self._fingerprint)
 
     def record_interruption(
-        self, target: DiscoveredTarget, began: float, early: bool
+        self, target: DiscoveredTarget, started_at: float, before_first_event: bool
     ) -> None:
         """Have the quarantine check whether a target crashed."""
         request = self._incoming.head.request
-        attempt = InterruptedAttempt(request, self._fingerprint, began, early)
+        attempt = InterruptedAttempt(
+            request, self._fingerprint, started_at, before_first_event
+        )
         self._quarantine.record_interruption(target, attempt)
--- a/hibiscusstep/forwarding/suspects.py
+++ b/hibiscusstep/forwarding/suspects.py
@@ -41,14 +41,14 @@
     ----------
     weight : float
         How much the crash counts against the request.
-    began, at : float
+    started_at, crashed_at : float
         When the request was sent to the target and when the target crashed, on the
         event loop's clock.
     """
 
     weight: float
-    began: float
-    at: float
+    started_at: float
+    crashed_at: float
 
 
 @dataclass(slots=True, eq=False)
@@ -79,13 +79,13 @@
         Of overlapping runs only one counts: an event that ends many targets at once,
         such as a power loss, is no evidence against a request that ran on several.
         """
-        crashes = sorted(self.crashes.values(), key=lambda crash: crash.at)
-        ends = [crash.at for crash in crashes]
+        crashes = sorted(self.crashes.values(), key=lambda crash: crash.crashed_at)
+        ends = [crash.crashed_at for crash in crashes]
         # Element i: the largest total weight among the first i crashes.
         best = [0.0]
         for crash in crashes:
             before = bisect.bisect_right(
-                ends, crash.began + MESSAGE_DELAY_S, hi=len(best) - 1
+                ends, crash.started_at + MESSAGE_DELAY_S, hi=len(best) - 1
             )
             best.append(max(best[-1], best[before] + crash.weight))
         return best[-1]
@@ -93,7 +93,7 @@
     @property
     def last_crash_at(self) -> float:
         """When the latest crash was, on the event loop's clock; 0 without crashes."""
-        return max((crash.at for crash in self.crashes.values()), default=0.0)
+        return max((crash.crashed_at for crash in self.crashes.values()), default=0.0)
 
     def add_crash(self, target: str, crash: _Crash) -> bool:
         """Add a crash and return whether it is new or weighs more than before."""
@@ -102,7 +102,9 @@
             return False
         self.crashes[target] = crash
         while len(self.crashes) > MAX_CRASHES_PER_REQUEST:
-            del self.crashes[min(self.crashes, key=lambda t: self.crashes[t].at)]
+            del self.crashes[
+                min(self.crashes, key=lambda t: self.crashes[t].crashed_at)
+            ]
         return True
 
     def clear(self, targets: Iterable[str], now: float) -> bool:
@@ -237,8 +239,8 @@
             suspect.fingerprint,
             list(suspect.crashes),
             [crash.weight for crash in suspect.crashes.values()],
-            [crash.at - crash.began for crash in suspect.crashes.values()],
-            [now - crash.at for crash in suspect.crashes.values()],
+            [crash.crashed_at - crash.started_at for crash in suspect.crashes.values()],
+            [now - crash.crashed_at for crash in suspect.crashes.values()],
             list(suspect.cleared),
         )
 
@@ -248,7 +250,7 @@
             suspect.crashes = {
                 target: crash
                 for target, crash in suspect.crashes.items()
-                if now - crash.at < CRASH_LIFETIME_S
+                if now - crash.crashed_at < CRASH_LIFETIME_S
             }
             if not suspect.crashes and now - suspect.cleared_at >= CLEARED_LIFETIME_S:
                 del self._suspects[suspect.fingerprint]
--- a/hibiscusstep/forwarding/usage.py
+++ b/hibiscusstep/forwarding/usage.py
@@ -28,20 +28,20 @@
     ----------
     scope : str
         One of `UsageScope`.
-    heard_at : float
+    received_at : float
         Time of the last message from the source, on the loop's clock.
     totals : dict of str to int
         Tokens by customer since the start of the source.
-    counted : dict of str to int
+    counted_here : dict of str to int
         The part of them that was counted here.
     windows : dict of str to SlidingWindow
         Tokens by customer in the quota window.
     """
 
     scope: str
-    heard_at: float
+    received_at: float
     totals: dict[str, int] = field(default_factory=dict)
-    counted: dict[str, int] = field(default_factory=lambda: defaultdict(int))
+    counted_here: dict[str, int] = field(default_factory=lambda: defaultdict(int))
     windows: dict[str, SlidingWindow] = field(default_factory=dict)
 
 
@@ -140,7 +140,7 @@
         record = self._records.get((usage.incarnation, usage.scope))
         if record is None:
             return False
-        record.heard_at = now
+        record.received_at = now
         for name, total in zip(usage.customers, usage.totals, strict=True):
             added = total - record.totals.get(name, 0)
             if added > 0:
@@ -233,7 +233,7 @@
             self._detached.clear()
         record = self._records.setdefault(source, _SourceUsage(usage.scope, now))
         if not forwarded:
-            record.heard_at = now
+            record.received_at = now
         for name, total, ages in _unpack_rows(usage):
             added = total - record.totals.get(name, 0)
             if added > 0:
@@ -257,7 +257,7 @@
         window = record.windows.setdefault(name, SlidingWindow(self._span))
         for at, amount in parts:
             window.add(amount, at)
-        record.counted[name] += added
+        record.counted_here[name] += added
         self._all_totals[name] += added
         if record is self._own_source or record.scope == UsageScope.FOLLOWER:
             self._group_totals[name] += added
@@ -266,7 +266,7 @@
         """Remove the sources that sent nothing for two windows."""
         horizon = now - 2 * self._span
         kept = self._records.items()
-        self._records = {s: r for s, r in kept if r.heard_at > horizon}
+        self._records = {s: r for s, r in kept if r.received_at > horizon}
 
     def totals(self, scope: str, follower: str, names: Iterable[str]) -> list[int]:
         """Return the totals of customers to send.
@@ -283,7 +283,7 @@
         if scope != UsageScope.ALL:
             return [self._group_totals[name] for name in names]
         record = self._records.get((follower, UsageScope.FOLLOWER))
-        own = record.counted if record else {}
+        own = record.counted_here if record else {}
         return [self._all_totals[name] - own.get(name, 0) for name in names]
 
     def make_history(self, scope: str, now: float, follower: str = "") -> UsageHistory:
--- a/hibiscusstep/load/drawn_rollout.py
+++ b/hibiscusstep/load/drawn_rollout.py
@@ -8,7 +8,7 @@
 from hibiscusstep.routing.engine_model import ENGINE_STEP_S
 
 __all__ = [
-    "Badness",
+    "Defect",
     "Disturbance",
     "RolloutScenario",
     "Route",
@@ -23,7 +23,7 @@
 OLD_VERSION, NEW_VERSION = "v1", "v2"
 
 
-class Badness(enum.StrEnum):
+class Defect(enum.StrEnum):
     """Defect of the new version."""
 
     NONE = "none"
@@ -94,21 +94,21 @@
         Kinds of requests.
     duration : float
         Seconds from the order to its deadline.
-    badness : Badness
+    defect : Defect
         Defect of the new version.
-    part, factor : float
+    defect_share, slow_factor : float
         Share of its answers that are bad, and the factor by which they are slower.
-    begins : float
+    defect_after_s : float
         Seconds after the order at which the defect begins.
     under_load : bool
         Whether only targets that are nearly full are bad.
-    route : str
+    defect_route : str
         The only bad route; empty for all.
-    cold_s, cold : float
+    warm_up_s, warm_up_factor : float
         Seconds for which new targets are slower, and the factor.
     instances : int
         Number of instances that send the requests.
-    alone : tuple of float
+    partition : tuple of float
         Start and end of a partition in which a fifth of the instances dispatch for
         themselves; empty for none.
     kill_at : float
@@ -126,16 +126,16 @@
     rate: float
     routes: tuple[Route, ...]
     duration: float
-    badness: Badness
-    part: float
-    factor: float
-    begins: float
+    defect: Defect
+    defect_share: float
+    slow_factor: float
+    defect_after_s: float
     under_load: bool
-    route: str
-    cold_s: float
-    cold: float
+    defect_route: str
+    warm_up_s: float
+    warm_up_factor: float
     instances: int
-    alone: tuple[float, ...]
+    partition: tuple[float, ...]
     kill_at: float
     store_down: tuple[float, ...]
     disturbances: tuple[Disturbance, ...]
@@ -172,7 +172,7 @@
     )
     rate = float(np.clip(capacity * rng.uniform(0.3, 0.85), 5.0, 1000.0))
     duration = float(rng.choice([12.0, 20.0, 30.0, 45.0]))
-    badness = Badness(rng.choice(["none", "fails", "slow"], p=[0.5, 0.25, 0.25]))
+    defect = Defect(rng.choice(["none", "fails", "slow"], p=[0.5, 0.25, 0.25]))
     onset = str(rng.choice(["at once", "later", "under load", "one route"]))
     kill_at = ORDER_AT_S + float(rng.uniform(0.1, 0.9)) * duration
     kill_at = kill_at if rng.random() < 0.3 else 0.0
@@ -182,7 +182,7 @@
         for n in range(len(of))
     ]
     return RolloutScenario(
-        engine, old, new, slots, rate, routes, duration, badness,
+        engine, old, new, slots, rate, routes, duration, defect,
         float(rng.uniform(0.2, 0.8)), float(rng.uniform(4.0, 8.0)),
         float(rng.uniform(0.2, 0.6) * duration) if onset == "later" else 0.0,
         onset == "under load",
--- a/hibiscusstep/load/emulated_target.py
+++ b/hibiscusstep/load/emulated_target.py
@@ -9,7 +9,7 @@
     OLD_VERSION,
     ORDER_AT_S,
     SLOWDOWN_PER_REQUEST,
-    Badness,
+    Defect,
     RolloutScenario,
     Route,
 )
@@ -71,9 +71,9 @@
         Name and version of the target.
     slowness : float
         Slowness of its hardware.
-    drawn : RolloutScenario
+    scenario : RolloutScenario
         The scenario.
-    draw : numpy.random.Generator
+    rng : numpy.random.Generator
         Random numbers for the answers of all targets.
     running : dict of str to Work
         Running requests.
@@ -84,8 +84,8 @@
     name: str
     version: str
     slowness: float
-    drawn: RolloutScenario
-    draw: np.random.Generator
+    scenario: RolloutScenario
+    rng: np.random.Generator
     running: dict[str, m.Work] = field(default_factory=dict)
     down_until: float = 0.0
 
@@ -103,15 +103,15 @@
         now : float
             Emulated time in seconds.
         """
-        scenario = self.drawn
+        scenario = self.scenario
         bad = self._is_bad(route, now)
         self.running[work.ask] = work
-        slow = bad and scenario.badness is Badness.SLOW
+        slow = bad and scenario.defect is Defect.SLOW
         first, seconds, events = self._times(
-            size, scenario.factor if slow else 1.0, now
+            size, scenario.slow_factor if slow else 1.0, now
         )
-        failed = self.draw.random() < route.error_share or self._is_grey(now)
-        failed |= bad and scenario.badness is Badness.FAILS
+        failed = self.rng.random() < route.error_share or self._is_grey(now)
+        failed |= bad and scenario.defect is Defect.FAILS
         outcome = m.GrantOutcome.FAILED if failed else m.GrantOutcome.DONE
         if failed:
             seconds = min(seconds, max(MIN_FAILURE_S, 0.5 * PLAIN_REQUEST_S))
@@ -127,7 +127,7 @@
         """Return the seconds to the first token and to the end, and the events."""
         load_factor = 1 + SLOWDOWN_PER_REQUEST * (len(self.running) - 1)
         time_factor = self.slowness * load_factor * self._slowdown(now) * factor
-        if not self.drawn.engine:
+        if not self.scenario.engine:
             return 0.0, max(MIN_SERVICE_S, size) * time_factor, 0
         first = (FIRST_TOKEN_S + PROMPT_TOKENS / PREFILL_TOKENS_PER_S) * time_factor
         events = max(1, round(size / TOKENS_PER_EVENT))
@@ -135,31 +135,29 @@
         return first, seconds, events
 
     def _is_bad(self, route: Route, now: float) -> bool:
-        scenario = self.drawn
-        if self.version == OLD_VERSION or scenario.badness is Badness.NONE:
+        scenario = self.scenario
+        if self.version == OLD_VERSION or scenario.defect is Defect.NONE:
             return False
-        if now < ORDER_AT_S + scenario.begins:
+        if now < ORDER_AT_S + scenario.defect_after_s:
             return False
         if scenario.under_load and len(self.running) < 0.7 * scenario.slots:
             return False
-        if scenario.route and route.name != scenario.route:
+        if scenario.defect_route and route.name != scenario.defect_route:
             return False
-        return bool(self.draw.random() < scenario.part)
+        return bool(self.rng.random() < scenario.defect_share)
 
     def _slowdown(self, now: float) -> float:
         factor = SLOW_TARGET_FACTOR if self._is_affected("slow", now) else 1.0
-        scenario = self.drawn
-        if self.version == NEW_VERSION and now < ORDER_AT_S - 1.0 + scenario.cold_s:
-            factor *= scenario.cold
+        scenario = self.scenario
+        if self.version == NEW_VERSION and now < ORDER_AT_S - 1.0 + scenario.warm_up_s:
+            factor *= scenario.warm_up_factor
         return factor
 
     def _is_grey(self, now: float) -> bool:
-        return (
-            self._is_affected("grey", now) and self.draw.random() < GREY_FAILURE_SHARE
-        )
+        return self._is_affected("grey", now) and self.rng.random() < GREY_FAILURE_SHARE
 
     def _is_affected(self, kind: str, now: float) -> bool:
         return any(
             d.kind == kind and d.at <= now < d.at + d.seconds and self.name in d.targets
-            for d in self.drawn.disturbances
+            for d in self.scenario.disturbances
         )
--- a/hibiscusstep/load/rollout_emulator.py
+++ b/hibiscusstep/load/rollout_emulator.py
@@ -16,7 +16,7 @@
     NEW_VERSION,
     OLD_VERSION,
     ORDER_AT_S,
-    Badness,
+    Defect,
     Disturbance,
     RolloutScenario,
     Route,
@@ -87,7 +87,7 @@
         self._partition_dispatchers: dict[str, SlotDispatcher] = {}
         self._tolerance_reached_at = 0.0
         self._requests_by_second: dict[int, Counter] = defaultdict(Counter)
-        self._result = RolloutResult(scenario.badness is not Badness.NONE)
+        self._result = RolloutResult(scenario.defect is not Defect.NONE)
         self._down_until = 0.0
         self._progress_at = 0.0
         self._discover_targets()
@@ -105,8 +105,8 @@
         self._schedule(self._rng.exponential(1 / self._scenario.rate), self._arrive)
         if self._scenario.kill_at:
             self._schedule(self._scenario.kill_at, self._kill_dispatcher)
-        if self._scenario.alone:
-            start, end_of_partition = self._scenario.alone
+        if self._scenario.partition:
+            start, end_of_partition = self._scenario.partition
             self._schedule(start, self._begin_partition)
             self._schedule(end_of_partition, self._end_partition)
         for disturbance in self._scenario.disturbances:
--- a/hibiscusstep/load/rollout_report.py
+++ b/hibiscusstep/load/rollout_report.py
@@ -36,7 +36,7 @@
             str(cell)
             for cell in (
                 seed,
-                scenario.badness if result.bad else "good",
+                scenario.defect if result.bad else "good",
                 result.state or "running",
                 f"{result.concluded_after:.1f} of {scenario.duration:g}",
                 result.exposed,
--- a/hibiscusstep/policies/baselines.py
+++ b/hibiscusstep/policies/baselines.py
@@ -53,8 +53,8 @@
 
     def choose(self, work, targets, usable_targets, urgent):
         """Return a target with the least reported load; break ties at random."""
-        least = min(target.reported for target in targets)
-        return self._random.choice([t for t in targets if t.reported == least])
+        least = min(target.reported_load for target in targets)
+        return self._random.choice([t for t in targets if t.reported_load == least])
 
 
 class TwoChoicesPolicy(_ImmediatePolicy):
@@ -65,7 +65,7 @@
     def choose(self, work, targets, usable_targets, urgent):
         """Return the less loaded of two random targets."""
         sampled = self._random.sample(targets, min(2, len(targets)))
-        return min(sampled, key=lambda target: target.reported)
+        return min(sampled, key=lambda target: target.reported_load)
 
 
 class FirstComePolicy(Policy):
--- a/hibiscusstep/policies/expected_work.py
+++ b/hibiscusstep/policies/expected_work.py
@@ -73,7 +73,7 @@
     def _sooner_than_unblocked(self, work, targets, usable_targets):
         """Return the targets that start it before an unblocked one has a free slot."""
         waits = [
-            run.predicted_first + run.work.output_tokens / target.decode_rate
+            run.predicted_first_token_s + run.work.output_tokens / target.decode_rate
             for target in usable_targets
             if not target.prefill_blocked
             for run in target.running.values()
--- a/hibiscusstep/rollout/answer_times.py
+++ b/hibiscusstep/rollout/answer_times.py
@@ -45,12 +45,12 @@
     ----------
     log_time : float
         Natural logarithm of the ratio.
-    among : int
+    sample_count : int
         Number of answers behind the estimate of the fast ones.
     """
 
     log_time: float
-    among: int
+    sample_count: int
 
 
 class _TimeDistribution:
@@ -71,7 +71,7 @@
     def log_ratio(self, relative: RelativeTime, excess: float) -> float:
         """Return the log-likelihood ratio of a time if a share of answers is slow."""
         variance = max(MIN_SPREAD**2, self._square)
-        variance *= 1 + FAST_VARIANCE / relative.among
+        variance *= 1 + FAST_VARIANCE / relative.sample_count
         shift = math.log(SLOW_FACTOR)
         power = shift * (relative.log_time - self._mean - shift / 2) / variance
         slow = math.exp(min(power, 50.0))
--- a/hibiscusstep/rollout/budget.py
+++ b/hibiscusstep/rollout/budget.py
@@ -43,7 +43,7 @@
         The limits.
     requests, exposed : int
         Requests to the pool since the order, and those of them sent to the new version.
-    slack_part : float
+    slack_share : float
         Share of the fixed allowance that may be used; 0 if it is not known how much of
         it has been used already.
     """
@@ -51,7 +51,7 @@
     limits: ExposureLimits
     requests: int = 0
     exposed: int = 0
-    slack_part: float = SLACK_SHARE
+    slack_share: float = SLACK_SHARE
 
     def count_request(self, exposed: bool) -> None:
         """Count a request."""
@@ -61,7 +61,7 @@
     @property
     def remaining(self) -> float:
         """Requests that the new version may still receive."""
-        slack = max(0.0, self.slack_part * self.limits.slack - MAX_UNCOUNTED_REQUESTS)
+        slack = max(0.0, self.slack_share * self.limits.slack - MAX_UNCOUNTED_REQUESTS)
         return self.limits.share * self.requests + slack - self.exposed
 
     @property
--- a/hibiscusstep/rollout/controller.py
+++ b/hibiscusstep/rollout/controller.py
@@ -78,9 +78,9 @@
         Identifies the order among those to the same version.
     deadline : float
         Time by which it is to be completed, on the dispatcher's clock.
-    lead : float
+    lead_s : float
         Seconds before the deadline at which the completion has to be written.
-    is_in_force : bool
+    is_current : bool
         Whether the version is already the current one.
     limits : ExposureLimits
         Limits on the requests to the version while it is not proven.
@@ -93,8 +93,8 @@
     version: str
     number: int
     deadline: float
-    lead: float = 0.3
-    is_in_force: bool = False
+    lead_s: float = 0.3
+    is_current: bool = False
     limits: ExposureLimits = field(default_factory=ExposureLimits)
     progress: RolloutProgress = field(default_factory=RolloutProgress)
     test: str = "cusum"
@@ -126,9 +126,9 @@
     def __init__(self, planned: PlannedRollout) -> None:
         self._planned = planned
         before = planned.progress
-        slack_part = SLACK_SHARE if before.is_known else 0.0
+        slack_share = SLACK_SHARE if before.is_known else 0.0
         self._budget = ExposureBudget(
-            planned.limits, before.requests, before.exposed, slack_part
+            planned.limits, before.requests, before.exposed, slack_share
         )
         self._answers_before = before.answers
         self._exposed_before = before.exposed
@@ -255,7 +255,7 @@
         """
         if self.verdict is not None:
             return
-        if self._planned.is_in_force:
+        if self._planned.is_current:
             self._conclude(RolloutState.COMPLETED, "already the current version")
             return
         self._update_rate(now)
@@ -270,7 +270,7 @@
         self._full_traffic = not reason
         if self._full_traffic:
             self.comparison.begin_full_traffic(now)
-        if left > self._planned.lead:
+        if left > self._planned.lead_s:
             return
         if reason:
             self._conclude(RolloutState.ROLLED_BACK, reason)
@@ -295,7 +295,7 @@
     def _full_traffic_s(self) -> float:
         """Seconds before the deadline at which full traffic may begin."""
         seconds = min(MAX_FULL_TRAFFIC_S, self._budget.full_traffic_seconds(self._rate))
-        return max(self._planned.lead, seconds)
+        return max(self._planned.lead_s, seconds)
 
     def _update_comparable(self, left: float, now: float) -> None:
         """Update for how long the new version's answers have been comparable."""
--- a/hibiscusstep/rollout/evidence.py
+++ b/hibiscusstep/rollout/evidence.py
@@ -40,16 +40,17 @@
     ----------
     name : str
         Name in reasons.
-    needed : float
+    needed_evidence : float
         Log-likelihood ratio at which a version is rejected.
-    doubts : tuple of float
-        For each excess share, the part of `needed` from which on a version does not
-        receive all traffic. Higher for a small excess, whose test fluctuates more.
+    suspicion_parts : tuple of float
+        For each excess share, the part of `needed_evidence` from which on a version
+        does not receive all traffic. Higher for a small excess, whose test fluctuates
+        more.
     """
 
     name: str
-    needed: float
-    doubts: tuple[float, ...]
+    needed_evidence: float
+    suspicion_parts: tuple[float, ...]
 
 
 FAILS = Symptom("fails", 10.0, (0.8, 0.5))
@@ -109,7 +110,7 @@
     def strongest(self) -> float:
         """Maximum evidence of all tests; at 1 the version is rejected."""
         parts = [
-            value / symptom.needed
+            value / symptom.needed_evidence
             for (symptom, _key), evidence in self._totals().items()
             for value in evidence
         ]
@@ -156,7 +157,7 @@
         """
         found: dict[Symptom, list[str]] = defaultdict(list)
         for (symptom, key), evidence in self._totals().items():
-            if max(evidence) >= part * symptom.needed:
+            if max(evidence) >= part * symptom.needed_evidence:
                 found[symptom].append(key)
         for symptom in (FAILS, SLOW):
             if found[symptom]:
@@ -174,9 +175,9 @@
         totals = self._totals()
         for symptom, key in sorted(totals, key=lambda test: (test[0].name, test[1])):
             if any(
-                value >= part * symptom.needed
+                value >= part * symptom.needed_evidence
                 for value, part in zip(
-                    totals[symptom, key], symptom.doubts, strict=True
+                    totals[symptom, key], symptom.suspicion_parts, strict=True
                 )
             ):
                 yield f"{symptom.name} on {key}"
--- a/hibiscusstep/routing/forecast.py
+++ b/hibiscusstep/routing/forecast.py
@@ -120,6 +120,6 @@
 
     def _seconds_to_probe(self, now: float) -> float:
         """Return the seconds until the next probe of a failed target."""
-        backoffs = [t.suspect_until - now for t in self._targets.values() if t.failures]
+        backoffs = [t.backoff_until - now for t in self._targets.values() if t.failures]
         soonest = min(backoffs, default=UNREACHABLE_RETRY_S)
         return round(min(MAX_RETRY_AFTER_S, max(0.0, soonest)), 1)
--- a/hibiscusstep/routing/policy_dispatcher.py
+++ b/hibiscusstep/routing/policy_dispatcher.py
@@ -66,7 +66,7 @@
             target.name: {
                 "running": len(target.running),
                 "max_running": target.max_running,
-                "reported": target.reported,
+                "reported": target.reported_load,
                 "prefill_rate": round(target.prefill_rate, 1),
                 "decode_rate": round(target.decode_rate, 2),
                 "drained": target.drained,
@@ -138,7 +138,7 @@
     def _load_report(self, message: m.LoadReport, now: float) -> None:
         target = self._targets.get(message.target)
         if target:
-            target.reported = message.running + message.waiting
+            target.reported_load = message.running + message.waiting
             target.leaving = message.leaving
             target.reachable = message.reachable
 
@@ -149,7 +149,7 @@
         self._drop(work.ask)
         if target:
             target.grant(work, now)
-            target.running[work.ask].first = now
+            target.running[work.ask].first_token_at = now
             self._target_by_ask[work.ask] = message.target
             self._running_by_customer[work.customer] += 1
 
--- a/hibiscusstep/routing/queue.py
+++ b/hibiscusstep/routing/queue.py
@@ -27,17 +27,17 @@
         Expected seconds of service on a target.
     latest_start : float
         Latest time of a grant that meets its deadline, on the dispatcher's clock.
-    long : bool
+    is_long : bool
         Whether it counts as long; long requests queue separately.
-    gone : bool
+    removed : bool
         Whether it has left the queue.
     """
 
     work: Work
     cost: float
     latest_start: float
-    long: bool
-    gone: bool = False
+    is_long: bool
+    removed: bool = False
 
 
 @dataclass(slots=True)
@@ -50,7 +50,7 @@
 
     def head(self, long: bool) -> QueuedRequest | None:
         heap = self.heaps[long]
-        while heap and heap[0][-1].gone:
+        while heap and heap[0][-1].removed:
             heapq.heappop(heap)
         return heap[0][-1] if heap else None
 
@@ -103,7 +103,9 @@
             served_on_return = max(self._served[work.customer], self._virtual_time)
             self._served[work.customer] = served_on_return
         aged_cost = work.received_at + queued.cost if self._fair else 0.0
-        heapq.heappush(customer.heaps[queued.long], (aged_cost, arrival_number, queued))
+        heapq.heappush(
+            customer.heaps[queued.is_long], (aged_cost, arrival_number, queued)
+        )
         heapq.heappush(
             self._by_latest_start, (queued.latest_start, arrival_number, queued)
         )
@@ -115,7 +117,7 @@
         queued = self._by_ask.pop(ask, None)
         if queued is None:
             return None
-        queued.gone = True
+        queued.removed = True
         customer = self._customers[queued.work.customer]
         customer.backlog -= queued.cost
         customer.count -= 1
@@ -149,12 +151,12 @@
         heads = [*self._short_heads(eligible), *self._long_heads(eligible)]
         urgent = self._earliest_due()
         is_urgent = urgent.latest_start - now < self._urgent_s
-        if is_urgent and not urgent.long and urgent.work.customer in eligible:
+        if is_urgent and not urgent.is_long and urgent.work.customer in eligible:
             heads.insert(0, urgent)
         heads.sort(
             key=lambda queued: self._sort_key(queued, queued is urgent and is_urgent)
         )
-        if is_urgent and urgent.long:
+        if is_urgent and urgent.is_long:
             heads.append(urgent)
         return list(dict.fromkeys(heads))
 
@@ -169,7 +171,7 @@
         """
         while (queued := self._earliest_due()) and queued.latest_start <= now:
             yield queued
-            if not queued.gone:
+            if not queued.removed:
                 return
 
     def due_before(self, moment: float) -> list[QueuedRequest]:
@@ -207,7 +209,7 @@
         return sum(customer.backlog for customer in self._customers.values())
 
     def _earliest_due(self) -> QueuedRequest | None:
-        while self._by_latest_start and self._by_latest_start[0][-1].gone:
+        while self._by_latest_start and self._by_latest_start[0][-1].removed:
             heapq.heappop(self._by_latest_start)
         return self._by_latest_start[0][-1] if self._by_latest_start else None
 
@@ -227,7 +229,7 @@
             entry[-1]
             for heap in heaps
             for entry in heap[:MAX_LONG_PER_CUSTOMER]
-            if not entry[-1].gone
+            if not entry[-1].removed
         ]
 
     def _head_key(self, queued: QueuedRequest) -> float:
--- a/hibiscusstep/routing/shedding.py
+++ b/hibiscusstep/routing/shedding.py
@@ -66,6 +66,6 @@
         )
 
     def _stop_order(self, run: RunningRequest, now: float) -> tuple[int, float]:
-        has_first_token = run.first is not None
+        has_first_token = run.first_token_at is not None
         computed_tokens = run.uncached if has_first_token else 0.0
-        return (-run.work.rank, computed_tokens + (now - run.granted))
+        return (-run.work.rank, computed_tokens + (now - run.granted_at))
--- a/hibiscusstep/routing/target_estimate.py
+++ b/hibiscusstep/routing/target_estimate.py
@@ -43,28 +43,28 @@
     ----------
     work : Work
         The request.
-    granted : float
+    granted_at : float
         Time of the grant.
-    uncached, ahead : int
+    uncached, prefill_tokens_ahead : int
         Prompt tokens that the target is expected to compute for it, and those of
         earlier grants whose prefill was not finished at the time of the grant.
-    predicted_first : float
+    predicted_first_token_s : float
         Expected seconds to the first token.
-    first : float or None
+    first_token_at : float or None
         Time of the first token.
-    first_seconds : float
+    first_token_s : float
         Seconds from the dispatch to the first token, 0 if not known.
     stopping : bool
         Whether a stop was requested.
     """
 
     work: Work
-    granted: float
+    granted_at: float
     uncached: int
-    ahead: int
-    predicted_first: float
-    first: float | None = None
-    first_seconds: float = 0.0
+    prefill_tokens_ahead: int
+    predicted_first_token_s: float
+    first_token_at: float | None = None
+    first_token_s: float = 0.0
     stopping: bool = False
 
 
@@ -83,7 +83,7 @@
     drained, leaving, reachable : bool
         Whether an operator drained it, it announced its shutdown, and the last poll
         reached it.
-    reported : int
+    reported_load : int
         Running and waiting requests in its last load report.
     """
 
@@ -94,9 +94,9 @@
     drained: bool = False
     leaving: bool = False
     reachable: bool = True
-    reported: int = 0
+    reported_load: int = 0
     running: dict[str, RunningRequest] = field(default_factory=dict)
-    suspect_until: float = 0.0
+    backoff_until: float = 0.0
     failures: int = 0
     _prefixes: OrderedDict = field(default_factory=OrderedDict)
     _prefix_tokens: int = 0
@@ -107,7 +107,7 @@
             return False
         if not self.failures:
             return True
-        return now >= self.suspect_until and not self.running
+        return now >= self.backoff_until and not self.running
 
     @property
     def free(self) -> int:
@@ -117,7 +117,9 @@
     @property
     def pending_prefill_tokens(self) -> int:
         """Expected prompt tokens still to be computed by running requests."""
-        return sum(run.uncached for run in self.running.values() if run.first is None)
+        return sum(
+            run.uncached for run in self.running.values() if run.first_token_at is None
+        )
 
     @property
     def prefill_blocked(self) -> bool:
@@ -150,9 +152,9 @@
     def remaining_seconds(self, run: RunningRequest, now: float) -> float:
         """Return the expected seconds until a running request ends."""
         decode = run.work.output_tokens / self.decode_rate
-        if run.first is not None:
-            return max(0.0, run.first + decode - now)
-        return max(0.0, run.granted + run.predicted_first - now) + decode
+        if run.first_token_at is not None:
+            return max(0.0, run.first_token_at + decode - now)
+        return max(0.0, run.granted_at + run.predicted_first_token_s - now) + decode
 
     def grant(self, work: Work, now: float) -> None:
         """Record a request as running on this target."""
@@ -169,9 +171,9 @@
     def first_token(self, ask: str, seconds: float, now: float) -> None:
         """Record the first token, which arrived `seconds` after the dispatch."""
         run = self.running.get(ask)
-        if run is not None and run.first is None:
-            run.first = now
-            run.first_seconds = seconds
+        if run is not None and run.first_token_at is None:
+            run.first_token_at = now
+            run.first_token_s = seconds
 
     def done(self, ask: str, tokens: int, seconds: float, computed: int = -1) -> None:
         """Update the estimates from a complete answer and reset the failure count.
@@ -201,14 +203,14 @@
 
         That time includes one decoding step. Longer prefills have more weight.
         """
-        expected = (run.ahead + computed) / self.prefill_rate
+        expected = (run.prefill_tokens_ahead + computed) / self.prefill_rate
         if (
             expected < MIN_LEARNABLE_PREFILL_S
-            or not run.first_seconds
-            or run.ahead > computed
+            or not run.first_token_s
+            or run.prefill_tokens_ahead > computed
         ):
             return
-        prefill = max(MIN_LEARNABLE_PREFILL_S, run.first_seconds - 1 / self.decode_rate)
+        prefill = max(MIN_LEARNABLE_PREFILL_S, run.first_token_s - 1 / self.decode_rate)
         weight = LEARNING_RATE * min(1.0, expected / FULL_WEIGHT_PREFILL_S)
         rate = self.prefill_rate * _clamp(expected / prefill) ** weight
         self.prefill_rate = max(MIN_RATE, rate)
@@ -221,7 +223,7 @@
         if seconds > 0:
             ratio = (tokens - 1) / seconds / self.decode_rate
         else:
-            expected = run.predicted_first + tokens / self.decode_rate
+            expected = run.predicted_first_token_s + tokens / self.decode_rate
             ratio = expected / -seconds
         rate = self.decode_rate * _clamp(ratio) ** LEARNING_RATE
         self.decode_rate = max(MIN_RATE, rate)
@@ -231,7 +233,7 @@
         self.running.pop(ask, None)
         self.failures += 1
         backoff = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2 ** (self.failures - 1))
-        self.suspect_until = now + backoff
+        self.backoff_until = now + backoff
 
     def discard(self, ask: str) -> None:
         """Drop a request whose end says nothing about the target."""
--- a/hibiscusstep/routing/version_partition.py
+++ b/hibiscusstep/routing/version_partition.py
@@ -155,7 +155,7 @@
             return True
         planned = self.rollout.planned
         ends = now + self._selector.duration_bound(target, work, now)
-        return ends < planned.deadline - planned.lead
+        return ends < planned.deadline - planned.lead_s
 
     def record_grant(self, target: SlotTarget) -> None:
         """Count a granted request for the rollout."""
--- a/tests/test_emulated_target.py
+++ b/tests/test_emulated_target.py
@@ -9,7 +9,7 @@
     NEW_VERSION,
     OLD_VERSION,
     ORDER_AT_S,
-    Badness,
+    Defect,
     Disturbance,
     Route,
     draw_scenario,
@@ -20,8 +20,9 @@
 ROUTE = Route("r0", 1.0, 0.1, 0.0, 0.0)
 AFTER_ORDER_S = ORDER_AT_S + 10.0
 PLAIN_SCENARIO = replace(
-    draw_scenario(3), engine=False, slots=4, badness=Badness.FAILS, part=1.0,
-    begins=0.0, under_load=False, route="", cold=1.0, disturbances=(),
+    draw_scenario(3), engine=False, slots=4, defect=Defect.FAILS, defect_share=1.0,
+    defect_after_s=0.0, under_load=False, defect_route="", warm_up_factor=1.0,
+    disturbances=(),
 )  # fmt: skip
 
 
@@ -36,7 +37,7 @@
 
 class TestBadVersion:
     def test_fails_once_its_defect_begins(self):
-        target = _target(begins=5.0)
+        target = _target(defect_after_s=5.0)
         early = target.begin(_work(), ROUTE, 0.1, ORDER_AT_S + 4.9)
         late = target.begin(_work(1), ROUTE, 0.1, ORDER_AT_S + 5.0)
         assert (early.outcome, early.is_bad) == (m.GrantOutcome.DONE, False)
@@ -51,20 +52,20 @@
         assert [run.is_bad for run in runs] == [False, False, False, True]
 
     def test_on_one_route_only(self):
-        target = _target(route="r1")
+        target = _target(defect_route="r1")
         assert not target.begin(_work(), ROUTE, 0.1, AFTER_ORDER_S).is_bad
         assert target.begin(
             _work(1), replace(ROUTE, name="r1"), 0.1, AFTER_ORDER_S
         ).is_bad
 
     def test_slow_answers_take_longer(self):
-        target = _target(badness=Badness.SLOW, factor=5.0)
+        target = _target(defect=Defect.SLOW, slow_factor=5.0)
         assert target.begin(
             _work(), ROUTE, 0.1, AFTER_ORDER_S
         ).seconds == pytest.approx(0.5)
 
     def test_callers_cancel_slow_requests(self):
-        target = _target(badness=Badness.SLOW, factor=500.0)
+        target = _target(defect=Defect.SLOW, slow_factor=500.0)
         run = target.begin(_work(), ROUTE, 0.1, AFTER_ORDER_S)
         assert (run.outcome, run.seconds) == (
             m.GrantOutcome.CANCELLED,
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -41,7 +41,7 @@
             assert budget.exposed <= share * budget.requests + limits.slack
 
     def test_an_unknown_use_of_the_allowance_leaves_none(self):
-        budget = ExposureBudget(LIMITS, slack_part=0.0)
+        budget = ExposureBudget(LIMITS, slack_share=0.0)
         assert budget.remaining <= 0.0
 
     def test_full_traffic_in_the_last_seconds_keeps_the_limit(self):
@@ -352,7 +352,7 @@
         assert rollout.verdict is RolloutState.ROLLED_BACK
 
     def test_the_current_version_is_completed_at_once(self):
-        rollout = _rollout(is_in_force=True)
+        rollout = _rollout(is_current=True)
         rollout.tick(3, 0.0)
         assert rollout.verdict is RolloutState.COMPLETED
 
