--- a/hibiscusstep/forwarding/quota_request.py
+++ b/hibiscusstep/forwarding/quota_request.py
@@ -28,7 +28,7 @@
         Number of tokens.
     """
 
-    __slots__ = ("_customer", "_keeper", "_open", "_tokens")
+    __slots__ = ("_customer", "_limiter", "_open", "_tokens")
 
     def __init__(self, limiter: QuotaLimiter, customer: str, tokens: int) -> None:
         self._limiter = limiter
@@ -67,7 +67,7 @@
         Id of the request, for the log.
     """
 
-    __slots__ = ("_customer", "_keeper", "_request", "_ticket", "_tokens")
+    __slots__ = ("_customer", "_limiter", "_request", "_ticket", "_tokens")
 
     def __init__(
         self, limiter: QuotaLimiter, customer: CustomerRule, tokens: int, request: str
