--- a/hibiscusstep/desk.py
+++ b/hibiscusstep/desk.py
@@ -43,7 +43,7 @@
 UNAVAILABLE_RETRY_S = 2.0
 # A grant that was on its way for longer is not used: its slot may have been taken for
 # lost by the time the request would end. Less than what an instance is given to say
-# that it holds a request (`run_watch.ANSWER_S`).
+# that it holds a request (`grant_monitor.ANSWER_TIMEOUT_S`).
 STALE_GRANT_S = 0.45
 
 
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -295,8 +295,9 @@
             self._targets,
             lambda: self._catalog.revision if self._targets_known else 0,
         )
-        self._belief_keeper = EstimateKeeper(
-            self._environment.beliefs, lambda news: self._dispatching.tell(news)
+        self._estimate_keeper = EstimateKeeper(
+            self._environment.beliefs,
+            lambda estimates: self._dispatching.tell(estimates),
         )
         self._rollouts = RolloutCoordinator(
             name, address, self._links, self._environment.rollouts, self._publish_plan
@@ -310,7 +311,7 @@
             kind=partial(SlotDispatcher, switches=settings.switches),
             reads_reports=False,
             serves_itself=True,
-            kept=self._belief_keeper.tell if settings.switches.kept_beliefs else None,
+            kept=self._estimate_keeper.tell if settings.switches.kept_beliefs else None,
             on_rollout=self._rollouts.tell,
         )
         self._desk = Desk(
@@ -360,7 +361,7 @@
             self._kept_use,
             self._quarantine,
             self._rollouts,
-            *([self._belief_keeper] if settings.switches.kept_beliefs else []),
+            *([self._estimate_keeper] if settings.switches.kept_beliefs else []),
         ]
         self._receivers = self._map_receivers()
 
--- a/hibiscusstep/forwarding/pool_versions.py
+++ b/hibiscusstep/forwarding/pool_versions.py
@@ -274,7 +274,7 @@
         return [self._record(name, now) for name in names]
 
     def merge_record(self, record: RolloutRecord, now: float) -> bool:
-        """Merge another instance's record of a pool; return whether it was news."""
+        """Merge another instance's record; return whether the pool's state changed."""
         entry = self._pools[record.pool]
         changed = self._merge_serving(entry, record, now)
         is_newer_order = record.number > entry.revision
--- a/hibiscusstep/forwarding/rollouts.py
+++ b/hibiscusstep/forwarding/rollouts.py
@@ -194,8 +194,8 @@
                 self._write_for_peer(request)
             case ViewChanged(view=view):
                 self._update_view(view, now)
-            case RolloutUpdate() as news:
-                self._handle_progress(news, now)
+            case RolloutUpdate() as update:
+                self._handle_progress(update, now)
             case _Listed() as listed:
                 self._apply_listing(listed, now)
             case _Changed(changes=changes):
@@ -275,11 +275,12 @@
         changed = [r.pool for r in records if self.version_table.merge_record(r, now)]
         running = [r.pool for r in records if self.version_table[r.pool].is_running]
         # An instance that takes an order over needs its progress.
-        news = list(dict.fromkeys([*changed, *running]))
-        if news:
+        to_send = list(dict.fromkeys([*changed, *running]))
+        if to_send:
             self._on_change()
             self._send_records(
-                self.version_table.records(now, news), self._neighbours.beyond(sender)
+                self.version_table.records(now, to_send),
+                self._neighbours.beyond(sender),
             )
         for pool in changed:
             self._write_status(pool)
@@ -348,18 +349,18 @@
 
     # The order's status.
 
-    def _handle_progress(self, news: RolloutUpdate, now: float) -> None:
-        self.version_table.set_progress(news.pool, news.number, news.progress)
-        if news.state is None:
+    def _handle_progress(self, update: RolloutUpdate, now: float) -> None:
+        self.version_table.set_progress(update.pool, update.number, update.progress)
+        if update.state is None:
             if now >= self._published_at + PUBLISH_INTERVAL_S:
                 self._published_at = now
-                self._publish([news.pool], now)
+                self._publish([update.pool], now)
             self._save_progress(now)
             return
-        if self.version_table.conclude(news.pool, news.number, news.state):
-            self._publish([news.pool], now)
+        if self.version_table.conclude(update.pool, update.number, update.state):
+            self._publish([update.pool], now)
             self._save_progress(now, at_once=True)
-            self._write_status(news.pool)
+            self._write_status(update.pool)
 
     def _write_status(self, pool: str) -> None:
         """Write the status of an order that this instance carries out."""
--- a/tests/test_target_estimates.py
+++ b/tests/test_target_estimates.py
@@ -20,16 +20,16 @@
 class _Store(BeliefStore):
     def __init__(self, **documents):
         self.documents = documents
-        self.away = False
+        self.unavailable = False
 
     async def write(self, pool, document):
-        if self.away:
+        if self.unavailable:
             return Err(PlatformUnavailable("away", step="write", peer="store"))
         self.documents[pool] = document
         return Ok(None)
 
     async def read_all(self):
-        if self.away:
+        if self.unavailable:
             return Err(PlatformUnavailable("away", step="read", peer="store"))
         return Ok(dict(self.documents))
 
@@ -57,11 +57,11 @@
 
     async def test_reads_again_after_a_store_outage(self):
         store = _Store(p=asdict(ESTIMATES))
-        store.away = True
+        store.unavailable = True
         reader, received = _keeper(store)
         await reader.handle(Tick())
         assert not received
-        store.away = False
+        store.unavailable = False
         await reader.handle(Tick())
         assert received == [ESTIMATES]
 
