--- a/hibiscusstep/forwarding/connections.py
+++ b/hibiscusstep/forwarding/connections.py
@@ -275,7 +275,7 @@
         """
         self.close_idle(name)
         for connection in self._in_use.pop(name, ()):
-            connection.fail("the target was restarted")
+            connection.fail("the target restarted")
 
     def sweep(self) -> None:
         """Close the connections whose idle time is over."""
--- a/hibiscusstep/forwarding/quarantine.py
+++ b/hibiscusstep/forwarding/quarantine.py
@@ -108,7 +108,7 @@
                 "fingerprint": f"{suspect.fingerprint:016x}",
                 "quarantined": self._table.is_quarantined(suspect.fingerprint),
                 "seconds_since": {
-                    target: round(now - crash.at, 1)
+                    target: round(now - crash.crashed_at, 1)
                     for target, crash in suspect.crashes.items()
                 },
                 "expires_in": round(
--- a/hibiscusstep/forwarding/quota.py
+++ b/hibiscusstep/forwarding/quota.py
@@ -74,7 +74,7 @@
     bounds : Bounds
         Window and allowed overage.
     use_store : Worker or None
-        Reads and writes the stored usage; None if there is no store.
+        Reads and writes the saved usage; None if there is no store.
     """
 
     def __init__(
@@ -201,7 +201,7 @@
                 self._query(address)
 
     def _request_stored_use(self, now: float) -> None:
-        """Request the stored usage unless there is a relay or the window is known."""
+        """Request the saved usage unless there is a relay or the window is known."""
         if self._use_store is None or self._ledger.knows_window(now):
             return
         if self._view.settled and not self._view.parent:
--- a/hibiscusstep/forwarding/saved_usage.py
+++ b/hibiscusstep/forwarding/saved_usage.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadUse:
-    """Requests that the stored usage is read, once."""
+    """Requests that the saved usage is read, once."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,7 +129,7 @@
 
 
 class SavedUsageWorker(Worker):
-    """Reads the stored usage once and writes new usage.
+    """Reads the saved usage once and writes new usage.
 
     Parameters
     ----------
@@ -138,7 +138,7 @@
     span : float
         Length of the quota window in seconds.
     on_read : callable of SavedUsage
-        Receives the stored usage.
+        Receives the saved usage.
     """
 
     def __init__(
@@ -188,7 +188,7 @@
             if len(recent) != self._steps * len(customers):
                 raise ValueError("wrong number of values in recent")
         except (KeyError, TypeError, ValueError, OverflowError) as cause:
-            _LOG.error("malformed stored usage ignored", extra={"error": repr(cause)})
+            _LOG.error("malformed saved usage ignored", extra={"error": repr(cause)})
             return empty
         rows = (
             recent[at : at + self._steps] for at in range(0, len(recent), self._steps)
--- a/hibiscusstep/forwarding/usage.py
+++ b/hibiscusstep/forwarding/usage.py
@@ -184,7 +184,7 @@
         """Apply the usage history of another instance.
 
         The history of a new relay replaces what is known here if it reaches as far
-        back; otherwise both count until the older data has expired. Stored usage only
+        back; otherwise both count until the older data has expired. Saved usage only
         fills in for usage that no instance knows. Of two readings of the store that of
         the older instance is used, because the younger one may include usage that live
         instances also report.
@@ -219,7 +219,7 @@
         return history.known_for >= known_for - HISTORY_TOLERANCE_S
 
     def apply_stored(self, usage: Usage, now: float) -> None:
-        """Apply stored usage unless the window is already known."""
+        """Apply saved usage unless the window is already known."""
         if self.listed is None and not self.knows_window(now):
             self.listed = frozenset(usage.customers)
             self._apply_full(usage, now)
--- a/tests/test_quota_restarts.py
+++ b/tests/test_quota_restarts.py
@@ -206,7 +206,7 @@
             assert region.max_used <= region.limit, seed
 
     async def test_few_refusals_below_the_quota(self, monkeypatch):
-        """After a full restart less remains, because stored usage has a margin."""
+        """After a full restart less remains, because saved usage has a margin."""
         for seed in SEEDS:
             region = self._region(monkeypatch, seed)
             await region.play(20.0, NORMAL)
