--- a/hibiscusstep/forwarding/crash_detector.py
+++ b/hibiscusstep/forwarding/crash_detector.py
@@ -9,7 +9,7 @@
 from hibiscusstep.forwarding.model import DiscoveredTarget
 from hibiscusstep.log import decision
 
-__all__ = ["InterruptedAttempt", "CrashDetector"]
+__all__ = ["CrashDetector", "InterruptedAttempt"]
 
 _LOG = logging.getLogger(__name__)
 # Connections that break within this time of the first one belong to the same crash.
--- a/hibiscusstep/forwarding/suspects.py
+++ b/hibiscusstep/forwarding/suspects.py
@@ -6,7 +6,7 @@
 
 from hibiscusstep.peer import SuspectState
 
-__all__ = ["EARLY_WEIGHT", "CRASH_LIFETIME_S", "LATE_WEIGHT", "Suspect", "SuspectTable"]
+__all__ = ["CRASH_LIFETIME_S", "EARLY_WEIGHT", "LATE_WEIGHT", "Suspect", "SuspectTable"]
 
 # A target that crashes before a request's first event was more likely crashed by that
 # request than by those that had been running for a while.
--- a/hibiscusstep/platform/fields.py
+++ b/hibiscusstep/platform/fields.py
@@ -14,10 +14,10 @@
     "MalformedField",
     "read_address",
     "read_choice",
-    "read_id",
     "read_float",
-    "read_text",
+    "read_id",
     "read_int",
+    "read_text",
 ]
 
 # Exceptions that reading a malformed document may raise.
--- a/hibiscusstep/rollout/evidence.py
+++ b/hibiscusstep/rollout/evidence.py
@@ -9,10 +9,10 @@
 __all__ = [
     "ALL_ROUTES",
     "EXCESS_SHARES",
+    "UNDER_LOAD",
     "AnswerEvidence",
     "Evidence",
     "Symptom",
-    "UNDER_LOAD",
 ]
 
 # Shares of additional bad answers in a bad version; there is one test for each.
--- a/hibiscusstep/routing/queue.py
+++ b/hibiscusstep/routing/queue.py
@@ -8,7 +8,7 @@
 
 from hibiscusstep.routing.messages import Work
 
-__all__ = ["TierQueue", "QueuedRequest"]
+__all__ = ["QueuedRequest", "TierQueue"]
 
 MAX_LONG_PER_CUSTOMER = 8
 MAX_CUSTOMERS = 3
--- a/hibiscusstep/routing/wait_limits.py
+++ b/hibiscusstep/routing/wait_limits.py
@@ -3,7 +3,7 @@
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.switches import Switches
 
-__all__ = ["MAX_RETRY_AFTER_S", "wait_deadline", "retry_after"]
+__all__ = ["MAX_RETRY_AFTER_S", "retry_after", "wait_deadline"]
 
 # Overload occurs in bursts of some seconds; an earlier retry is refused again.
 MIN_RETRY_AFTER_S = 2.0
--- a/tests/test_quota_restarts.py
+++ b/tests/test_quota_restarts.py
@@ -132,7 +132,7 @@
         assert not region.refused
 
 
-class TestStoredUse:
+class TestSavedUsage:
     async def test_full_restart_with_a_store(self, monkeypatch):
         for seed in SEEDS:
             for burst_s in (1.5, 3.0, 5.0):
--- a/tests/test_target_backoff.py
+++ b/tests/test_target_backoff.py
@@ -3,7 +3,7 @@
 from hibiscusstep.forwarding.target_backoff import TargetBackoff
 
 
-class TestRests:
+class TestTargetBackoff:
     def test_a_target_is_avoided_for_the_given_time(self):
         backoff = TargetBackoff()
         backoff.back_off("t", 2.0, 10.0)
