--- a/hibiscusstep/codec.py
+++ b/hibiscusstep/codec.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.codec: data classes to bytes and back, by thrift's binary protocol."""
+"""hibiscusstep.codec: encodes data classes in the thrift binary protocol."""
 
 import typing
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 __all__ = ["CodecError", "decode", "encode"]
 
 _FACTORY = TCyBinaryProtocolFactory()
-_TYPES = {
+_PRIMITIVE_TYPES = {
     "bool": TType.BOOL,
     "double": TType.DOUBLE,
     "i32": TType.I32,
@@ -26,21 +26,21 @@
 
 
 class CodecError(HibiscusstepError):
-    """The bytes are not a message of the expected class."""
+    """The bytes are not a valid message of the expected class."""
 
 
 def encode(item) -> bytes:
-    """Return a data class as bytes; the struct of the same name is its schema."""
+    """Encode a data class by the schema of the struct of the same name."""
     return serialize(_to_struct(item), _FACTORY)
 
 
 def decode(cls: type, data: bytes):
-    """Return the data class that `encode` made bytes of.
+    """Decode bytes from `encode` into an instance of a data class.
 
     Raises
     ------
     CodecError
-        If the bytes are cut, of another shape, or lack a field.
+        If the bytes are truncated, do not match the schema, or lack a field.
     """
     try:
         struct = deserialize(_struct_class(cls.__name__)(), data, _FACTORY)
@@ -52,23 +52,30 @@
 
 @cache
 def _struct_class(name: str) -> type:
-    """Return the library's class of a struct, made when it is first needed."""
-    spec = {number: _field_spec(kind, field) for number, kind, field in STRUCTS[name]}
+    """Return the thriftpy2 class of a struct; created on first use."""
+    spec = {
+        number: _field_spec(type_name, field)
+        for number, type_name, field in STRUCTS[name]
+    }
     defaults = [(field, None) for _number, _kind, field in STRUCTS[name]]
     return gen_init(type(name, (TPayload,), {}), spec, defaults)
 
 
-def _field_spec(kind: str, field: str) -> tuple:
-    if kind.startswith("list<"):
-        inner = kind.removeprefix("list<").removesuffix(">")
-        return TType.LIST, field, _type_of(inner), False
-    if kind in _TYPES:
-        return _TYPES[kind], field, False
-    return TType.STRUCT, field, _struct_class(kind), False
+def _field_spec(type_name: str, field: str) -> tuple:
+    if type_name.startswith("list<"):
+        element = type_name.removeprefix("list<").removesuffix(">")
+        return TType.LIST, field, _element_type(element), False
+    if type_name in _PRIMITIVE_TYPES:
+        return _PRIMITIVE_TYPES[type_name], field, False
+    return TType.STRUCT, field, _struct_class(type_name), False
 
 
-def _type_of(kind: str) -> int | tuple:
-    return _TYPES[kind] if kind in _TYPES else (TType.STRUCT, _struct_class(kind))
+def _element_type(type_name: str) -> int | tuple:
+    return (
+        _PRIMITIVE_TYPES[type_name]
+        if type_name in _PRIMITIVE_TYPES
+        else (TType.STRUCT, _struct_class(type_name))
+    )
 
 
 @cache
@@ -87,19 +94,19 @@
 
 @cache
 def _converters(cls: type) -> tuple[tuple[str, Callable | None], ...]:
-    """Return the fields of a data class, and what makes the library's values of them.
+    """Return the fields of a data class with the converters to thriftpy2 values.
 
-    None where the value is taken as it is.
+    The converter is None where the value needs no conversion.
     """
-    kinds = {name: kind for _number, kind, name in STRUCTS[cls.__name__]}
-    return tuple((name, _converter(kinds[name])) for name in _field_names(cls))
+    type_names = {name: type_name for _number, type_name, name in STRUCTS[cls.__name__]}
+    return tuple((name, _converter(type_names[name])) for name in _field_names(cls))
 
 
-def _converter(kind: str) -> Callable | None:
-    if not kind.startswith("list<"):
-        return None if kind in _TYPES else _to_struct
-    inner = kind.removeprefix("list<").removesuffix(">")
-    return list if inner in _TYPES else _to_structs
+def _converter(type_name: str) -> Callable | None:
+    if not type_name.startswith("list<"):
+        return None if type_name in _PRIMITIVE_TYPES else _to_struct
+    element = type_name.removeprefix("list<").removesuffix(">")
+    return list if element in _PRIMITIVE_TYPES else _to_structs
 
 
 def _to_structs(items) -> list:
@@ -124,12 +131,12 @@
 
 @cache
 def _nested_classes(cls: type) -> tuple[tuple[str, type | None], ...]:
-    """Return the fields of a data class, and the data classes of their values."""
+    """Return the fields of a data class with the data classes of their values."""
     return tuple((name, _nested_class(cls, name)) for name in _field_names(cls))
 
 
 def _nested_class(cls: type, name: str) -> type | None:
-    """Return the data class of a field, or of the items of a list field."""
+    """Return the data class of a field, or of the items of a list field, else None."""
     hint = typing.get_type_hints(cls)[name]
-    inner = next(iter(typing.get_args(hint)), hint)
-    return inner if is_dataclass(inner) else None
+    value_type = next(iter(typing.get_args(hint)), hint)
+    return value_type if is_dataclass(value_type) else None
--- a/hibiscusstep/hibiscusstep.thrift
+++ b/hibiscusstep/hibiscusstep.thrift
@@ -1,5 +1,5 @@
-// Messages between instances. Each has a data class of the same name and fields in
-// peer.py; schema.py is generated from this file by examples/generate_schema.py.
+// Messages between instances. Each struct has a data class of the same name and fields
+// in peer.py; examples/generate_schema.py generates schema.py from this file.
 
 struct WorkInfo {
   1: string ask, 2: string request, 3: string instance, 4: string customer,
@@ -89,7 +89,7 @@
 struct StatusAsk { 1: string number, 2: string pool }
 struct StatusReply { 1: string number, 2: string text }
 
-// What the platform keeps of claimed keys.
+// Claimed keys as stored on the platform.
 struct ClaimRecord {
   1: binary digest, 2: binary body_digest, 3: string holder, 4: string incarnation,
   5: string attempt, 6: i64 at, 7: bool released, 8: i64 sequence
--- a/hibiscusstep/peer.py
+++ b/hibiscusstep/peer.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.peer: the messages between instances, as data classes."""
+"""hibiscusstep.peer: data classes for the messages between instances."""
 
 from dataclasses import dataclass, field
 
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class WorkInfo:
-    """`hibiscusstep.routing.messages.Work` with times relative to now, in seconds."""
+    """`hibiscusstep.routing.messages.Work` with times in seconds relative to now."""
 
     ask: str
     request: str
@@ -73,12 +73,21 @@
 
 @dataclass(slots=True)
 class Heartbeat:
-    """All that an instance tells of itself.
+    """The full state that an instance announces about itself.
 
-    Sent to those that do not know it, when it changes, and now and then; `known`
-    holds peer addresses and is mostly empty; `greet` asks for the like in return.
-    `followers` counts the instances that a relay relays for; `parent` is the peer
-    address of the relay that the sender follows, empty if it is one itself.
+    Sent to instances that do not know the sender, on each change, and periodically.
+
+    Parameters
+    ----------
+    known : list of str
+        Peer addresses of known instances; empty in most heartbeats.
+    greet : bool
+        Whether the receiver is asked to send its own heartbeat.
+    followers : int
+        Number of instances that a relay forwards messages for.
+    parent : str
+        Peer address of the relay that the sender follows; empty if the sender is a
+        relay.
     """
 
     instance: str
@@ -100,7 +109,7 @@
 
 @dataclass(slots=True)
 class Relays:
-    """A relay tells its followers of all relays, and how many instances live."""
+    """All relays and the number of live instances, sent by a relay to its followers."""
 
     relays: list[Heartbeat]
     instances: int
@@ -108,7 +117,7 @@
 
 @dataclass(slots=True)
 class Beat:
-    """A sign of life between heartbeats, from whoever was heard before."""
+    """A short liveness message to instances that know the sender's heartbeat."""
 
     incarnation: str
     version: int
@@ -116,7 +125,7 @@
 
 @dataclass(slots=True)
 class PoolAsk:
-    """A request wants a target of a pool."""
+    """Asks for a target of a pool for a request."""
 
     pool: str
     work: WorkInfo
@@ -124,7 +133,7 @@
 
 @dataclass(slots=True)
 class PoolWithdraw:
-    """An ask, or the grant that answers it, is void."""
+    """Cancels an ask, or the grant that answered it."""
 
     pool: str
     ask: str
@@ -132,7 +141,7 @@
 
 @dataclass(slots=True)
 class PoolFirstToken:
-    """The first token came, `seconds` after the dispatch."""
+    """Reports that the first token arrived `seconds` after the dispatch."""
 
     pool: str
     ask: str
@@ -141,7 +150,7 @@
 
 @dataclass(slots=True)
 class PoolFinished:
-    """A granted request ended; `outcome` is a value of ``Outcome``."""
+    """Reports the end of a granted request; `outcome` is a value of ``Outcome``."""
 
     pool: str
     ask: str
@@ -154,7 +163,10 @@
 
 @dataclass(slots=True)
 class PoolRegister:
-    """All that an instance holds for a pool, to a dispatcher that is new to it."""
+    """All requests of an instance for a pool, sent to a newly chosen dispatcher.
+
+    `targets` holds the target of each entry of `running`.
+    """
 
     pool: str
     instance: str
@@ -166,7 +178,7 @@
 
 @dataclass(slots=True)
 class PoolGrant:
-    """The ask may go to `target`."""
+    """Assigns `target` to an ask."""
 
     pool: str
     ask: str
@@ -176,9 +188,9 @@
 
 @dataclass(slots=True)
 class PoolQueued:
-    """The dispatcher is alive and holds the receiver's asks; repeated while it does.
+    """Confirms periodically that the dispatcher is alive and holds the receiver's asks.
 
-    `again_in` is the seconds until it says so again, at the latest.
+    `again_in` is the maximum number of seconds until the next confirmation.
     """
 
     pool: str
@@ -187,14 +199,14 @@
 
 @dataclass(slots=True)
 class PoolInquire:
-    """The dispatcher asks which grants the receiver holds; see ``PoolHeld``."""
+    """Asks which grants the receiver holds; answered by ``PoolHeld``."""
 
     pool: str
 
 
 @dataclass(slots=True)
 class PoolHeld:
-    """The grants of a pool that an instance still holds; any others are void."""
+    """The grants of a pool that an instance still holds; all others are void."""
 
     pool: str
     instance: str
@@ -203,7 +215,7 @@
 
 @dataclass(slots=True)
 class PoolLearnt:
-    """What a pool's dispatcher learnt, for its successor; see ``messages.Learnt``."""
+    """A dispatcher's estimates for its successor; see ``messages.Learnt``."""
 
     pool: str
     targets: list[str]
@@ -215,7 +227,7 @@
 
 @dataclass(slots=True)
 class PoolRefuse:
-    """The ask is refused; `reason` is a value of ``Reason``."""
+    """Refuses an ask; `reason` is a value of ``Reason``."""
 
     pool: str
     ask: str
@@ -225,7 +237,7 @@
 
 @dataclass(slots=True)
 class PoolStop:
-    """The running request must end."""
+    """Orders the receiver to stop a running request."""
 
     pool: str
     ask: str
@@ -233,16 +245,16 @@
 
 @dataclass(slots=True)
 class NotDispatcher:
-    """The sender does not think that it dispatches the pool."""
+    """Rejects a message: the sender is not the dispatcher of the pool."""
 
     pool: str
 
 
 @dataclass(slots=True)
 class ClaimAsk:
-    """A key is to be claimed, or with `lookup` just looked up.
+    """Asks for a key to be claimed, or only looked up if `lookup` is set.
 
-    `supersedes` names an attempt that its holder says is dead.
+    `supersedes` is the id of an attempt that its holder reported as dead.
     """
 
     number: str
@@ -258,7 +270,10 @@
 
 @dataclass(slots=True)
 class ClaimReply:
-    """`result` is a value of ``ClaimResult``; who holds the key if it is held."""
+    """Answers `ClaimAsk`; `result` is a value of ``ClaimResult``.
+
+    The fields after it describe the holder of the key, if it is held.
+    """
 
     number: str
     result: str
@@ -270,7 +285,7 @@
 
 @dataclass(slots=True)
 class ClaimRelease:
-    """The attempt was never dispatched and never will be."""
+    """Releases the key of an attempt that was not and will not be dispatched."""
 
     shard: int
     digest: bytes
@@ -279,7 +294,7 @@
 
 @dataclass(slots=True)
 class AnswerAsk:
-    """Asks what became of an attempt that the receiver holds."""
+    """Asks for the state and answer of an attempt that the receiver holds."""
 
     number: str
     attempt: str
@@ -287,7 +302,10 @@
 
 @dataclass(slots=True)
 class AnswerReply:
-    """`state` is a value of ``AnswerState``; the answer if it was kept."""
+    """Answers `AnswerAsk`; `state` is a value of ``AnswerState``.
+
+    The fields after it hold the answer, if it was kept.
+    """
 
     number: str
     state: str
@@ -305,7 +323,7 @@
 
 @dataclass(slots=True)
 class ConfigurationReply:
-    """The configuration object as the platform keeps it; version 0 is none."""
+    """The configuration object as the platform stores it; version 0 means none."""
 
     number: str
     version: int
@@ -322,31 +340,32 @@
 
 @dataclass(slots=True)
 class StatusReply:
-    """JSON text of ``PoolStatus``."""
+    """Answers `StatusAsk`; `text` is the JSON form of ``PoolStatus``."""
 
     number: str
     text: str
 
 
 class UsageScope:
-    """Whose use a `Usage` tells."""
+    """The set of instances whose usage a `Usage` message reports."""
 
-    # A relay with its followers; an instance without any is a group of one.
+    # A relay and its followers; an instance without followers is a group of one.
     GROUP = "group"
-    # An instance that follows the receiver.
+    # One follower of the receiver.
     FOLLOWER = "follower"
-    # All but the receiver, as its relay knows it.
+    # All instances except the receiver, as known by the receiver's relay.
     ALL = "all"
-    # All before a restart, as it was kept in the platform's store.
+    # All instances before a restart, as saved in the platform's store.
     KEPT = "kept"
 
 
 @dataclass(slots=True)
 class Usage:
-    """What an instance let customers use, in tokens.
+    """Tokens used by customers at an instance.
 
-    `totals` are since its start. `recent` is empty, or has the parts of the quota's
-    window by age, newest first, so many for each customer in turn.
+    `totals` counts since the start of the instance. `recent` is empty or holds the
+    buckets of the quota window, newest first, for each customer in turn; all customers
+    have the same number of buckets.
     """
 
     incarnation: str
@@ -358,7 +377,7 @@
 
 @dataclass(slots=True)
 class UsageAsk:
-    """Asks for all that the receiver knows of customers' use.
+    """Asks for the `UsageHistory` of the receiver.
 
     `incarnation` is the sender's.
     """
@@ -368,20 +387,22 @@
 
 @dataclass(slots=True)
 class UsageHistory:
-    """What the sender knows of customers' use, of ended instances too.
+    """All usage of customers known to the sender, including that of ended instances.
 
     Parameters
     ----------
-    age, known_for : float
-        Seconds since the sender's start, and for which it knows what was used.
+    age : float
+        Seconds since the sender's start.
+    known_for : float
+        Seconds for which the sender knows the usage.
     kept_known : bool
-        Whether what was kept before a restart is among it.
+        Whether the usage saved before a restart is included.
     listed : list of str
-        The customers of which something was kept.
+        The customers in the saved usage.
     usages : list of Usage
-        With `recent`.
+        Usage records with `recent` set.
     instances : int
-        That live or, out of the sender's reach, may live.
+        Number of instances that are live, or unreachable and possibly live.
     """
 
     age: float
@@ -394,10 +415,18 @@
 
 @dataclass(slots=True)
 class TargetState:
-    """A target's state at a revision of the store; gone if `removed`.
+    """The state of a target at a revision of the store.
 
-    `name` is the id under which it registered, `incarnation` the Unix millisecond of
-    its start, 0 if it does not say, `version` that of its software.
+    Parameters
+    ----------
+    name : str
+        Id under which the target registered.
+    removed : bool
+        Whether the target was removed.
+    incarnation : int
+        Start of the target in Unix milliseconds; 0 if the target does not report it.
+    version : str
+        Software version of the target.
     """
 
     name: str
@@ -414,9 +443,9 @@
 
 @dataclass(slots=True)
 class TargetStates:
-    """States of targets that the sender has just learnt.
+    """New states of targets.
 
-    Where `revision` is not 0, these are all targets at that revision of the store.
+    If `revision` is not 0, `states` holds all targets at that revision of the store.
     """
 
     states: list[TargetState]
@@ -425,19 +454,19 @@
 
 @dataclass(slots=True)
 class SuspectState:
-    """What the sender knows of a request under which targets crashed.
+    """A request that was running on targets when they crashed.
 
     Parameters
     ----------
     fingerprint : int
-        What all attempts at the request share.
+        Hash that is equal for all attempts at the request.
     targets : list of str
-        Those whose crash counts against it.
+        Targets whose crash is attributed to the request.
     weights, spans, ages : list of float
-        Of each of these crashes: how much it counts, seconds for which the request had
-        been there, and seconds since.
+        For each of these crashes: its weight, the seconds for which the request had
+        been at the target, and the seconds since the crash.
     cleared : list of str
-        Targets whose crash counts no more since the request was answered.
+        Targets whose crash is no longer attributed, because the request was answered.
     """
 
     fingerprint: int
@@ -450,46 +479,47 @@
 
 @dataclass(slots=True)
 class SuspectStates:
-    """Requests under which targets crashed, as the sender knows them."""
+    """The sender's records of requests that may have crashed targets."""
 
     states: list[SuspectState]
 
 
 @dataclass(slots=True)
 class RolloutRecord:
-    """What the sender knows of a pool's versions and of the order to change them.
+    """A pool's versions and its rollout order, as known to the sender.
 
     Parameters
     ----------
     pool, version : str
-        The pool, and the version to which its traffic is to move.
+        The pool, and the version to which its traffic moves.
     revision : int
-        Of the order in the store; 0 if none is known.
+        Revision of the order in the store; 0 if no order is known.
     removed : bool
         Whether the order was withdrawn.
     duration : float
-        Seconds from the order until it should be completed.
+        Seconds from the order to its planned completion.
     state, state_version : str
-        A value of ``RolloutState``, empty if there is none, and which version it is of.
+        A value of ``RolloutState``, empty if there is none, and the version that it
+        applies to.
     number : int
-        Tells the order from others.
+        Identifies the order.
     age : float
-        Seconds since it was first seen by any instance.
+        Seconds since any instance first saw the order.
     requests, exposed, answers : int
         As in ``RolloutProgress``.
     is_known : bool
-        Whether that is all.
+        Whether these counts are complete.
     evidence : float
-        As there.
+        As in ``RolloutProgress``.
     is_rejected : bool
         Whether the version was found to be bad.
     serving : list of str
         Versions in force.
     serving_since : int
-        Revision of the order whose completion put them in force; 0 if they were there
-        before any.
+        Revision of the order whose completion put them in force; 0 if they were in
+        force before any order.
     serving_for : float
-        Seconds for which the sender has known them.
+        Seconds for which the sender has known them to be in force.
     """
 
     pool: str
@@ -514,14 +544,17 @@
 
 @dataclass(slots=True)
 class RolloutRecords:
-    """Pools' versions and orders, as the sender knows them."""
+    """The sender's records of pools' versions and rollout orders."""
 
     records: list[RolloutRecord]
 
 
 @dataclass(slots=True)
 class RolloutWrite:
-    """Asks for an order's status to be written: the sender can't reach the store."""
+    """Asks for an order's status to be written by an instance that reaches the store.
+
+    Sent by a dispatcher that cannot reach the store itself.
+    """
 
     pool: str
     revision: int
@@ -536,7 +569,7 @@
     Parameters
     ----------
     sender : str
-        Peer address that the sender gave of itself.
+        Peer address that the sender gave in the handshake.
     message : object
         One of the classes of this module.
     """
--- a/hibiscusstep/peerlink.py
+++ b/hibiscusstep/peerlink.py
@@ -21,26 +21,26 @@
 NONCE_BYTES = 16
 TAG_BYTES = 16
 MAX_FRAME_BYTES = 16 << 20
-QUEUE_LENGTH = 20_000
+MAX_QUEUED_MESSAGES = 20_000
 FIRST_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
 HANDSHAKE_TIMEOUT_S = 2.0
-# The receiver tells that frames have come, one byte for all of so many seconds.
+# The receiver acknowledges all frames of this interval with one byte.
 ACKNOWLEDGE_AFTER_S = 0.2
 _ACKNOWLEDGEMENT = b"."
-ACKNOWLEDGEMENTS_READ = 64
-# A connection may go silent for good without a reset while a new one would work: it is
-# made anew when what was written so long ago is not acknowledged. Beyond the pause of a
-# busy peer, and as long as a peer may be silent before it is taken for dead.
+ACKNOWLEDGEMENT_READ_BYTES = 64
+# A connection can stop delivering without a reset while a new one would work, so it is
+# replaced when a write has not been acknowledged for this long. This is longer than the
+# pause of a busy peer and equal to the silence after which a peer counts as dead.
 SILENT_AFTER_S = 1.5
-_HEAD = struct.Struct(">I")
-_NUMBER = struct.Struct(">Q")
-_KINDS = {cls: number for number, cls in enumerate(MESSAGES)}
+_LENGTH = struct.Struct(">I")
+_SEQUENCE = struct.Struct(">Q")
+_TYPE_CODES = {cls: code for code, cls in enumerate(MESSAGES)}
 
 
 @dataclass(slots=True)
 class Send:
-    """A message for the peer at an address; lost if the peer is away."""
+    """A message to send to the peer at an address; lost if the peer is unreachable."""
 
     address: str
     message: object
@@ -53,10 +53,10 @@
     Parameters
     ----------
     address : str
-        The peer's.
+        Address of the peer.
     refused : bool
-        Whether its machine answers and nothing listens: the process is dead. A
-        paused process, or one behind a cut, does not refuse.
+        Whether the connection was refused, which means that the process is dead: a
+        paused process, or one behind a network partition, does not refuse.
     """
 
     address: str
@@ -64,30 +64,30 @@
 
 
 class Authenticator:
-    """Tags the frames of one connection with a keyed digest and their number.
+    """Authenticates the frames of a connection by a keyed digest and sequence number.
 
     Parameters
     ----------
     key : str
-        Secret of the settings.
+        Secret from the settings.
     nonces : bytes
-        Both sides' random bytes; a frame of another connection does not fit.
+        Random bytes of both sides, so that frames of other connections are rejected.
     """
 
     def __init__(self, key: str, nonces: bytes) -> None:
         secret = hashlib.blake2b(key.encode()).digest()
         self._key = hashlib.blake2b(nonces, key=secret, digest_size=32).digest()
-        self._number = 0
+        self._sequence = 0
 
     def tag(self, body: bytes) -> bytes:
         """Return the tag of the next frame."""
-        data = _NUMBER.pack(self._number) + body
-        self._number += 1
+        data = _SEQUENCE.pack(self._sequence) + body
+        self._sequence += 1
         return hashlib.blake2b(data, key=self._key, digest_size=TAG_BYTES).digest()
 
     def frame(self, body: bytes) -> bytes:
-        """Return the next frame: length, tag, body."""
-        return _HEAD.pack(len(body)) + self.tag(body) + body
+        """Return the next frame: length, tag and body."""
+        return _LENGTH.pack(len(body)) + self.tag(body) + body
 
 
 async def read_frame(reader: asyncio.StreamReader, authenticator: Authenticator):
@@ -96,15 +96,20 @@
     Raises
     ------
     PeerError
-        If it is too long or its tag does not fit.
+        If the frame is too long or its tag does not match.
     """
-    (length,) = _HEAD.unpack(await reader.readexactly(_HEAD.size))
+    (length,) = _LENGTH.unpack(await reader.readexactly(_LENGTH.size))
     if length > MAX_FRAME_BYTES:
-        raise PeerError(f"frame of {length} bytes", step="read")
+        raise PeerError(
+            f"frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}",
+            step="read",
+        )
     tag = await reader.readexactly(TAG_BYTES)
     body = await reader.readexactly(length)
     if not hmac.compare_digest(tag, authenticator.tag(body)):
-        raise PeerError("tag does not fit: another key?", step="read")
+        raise PeerError(
+            "authentication tag mismatch; the peer may use another key", step="read"
+        )
     return body
 
 
@@ -114,11 +119,11 @@
     Parameters
     ----------
     address : str
-        Own peer address.
+        Peer address of this instance.
     key : str
         Secret shared by the instances.
     deliver : callable of object
-        Gets each `Received` and `LinkLost`.
+        Called with each `Received` and `LinkLost`.
     """
 
     def __init__(self, address: str, key: str, deliver: Callable) -> None:
@@ -128,15 +133,15 @@
         self._deliver = deliver
         self._server: asyncio.Server | None = None
         self._links: dict[str, _Link] = {}
-        self._readers: set[asyncio.Task] = set()
-        self._cut: set[str] = set()
-        # The message that was encoded last, and its bytes.
-        self._encoded: object = None
-        self._body = b""
+        self._receive_tasks: set[asyncio.Task] = set()
+        self._blocked: set[str] = set()
+        # The last encoded message and its bytes.
+        self._last_encoded: object = None
+        self._last_body = b""
         self.bytes_sent = 0
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen on the peer address."""
         host, _, port = self._address.rpartition(":")
         self._server = await asyncio.start_server(self._serve, host, int(port))
 
@@ -145,13 +150,13 @@
         self._server.close()
         for link in self._links.values():
             link.task.cancel()
-        for reader in self._readers:
-            reader.cancel()
+        for receive_task in self._receive_tasks:
+            receive_task.cancel()
         self._links = {}
 
     async def handle(self, message: Send) -> None:
-        """Queue a message for its peer."""
-        if message.address in self._cut:
+        """Queue a message for its peer, creating the connection if needed."""
+        if message.address in self._blocked:
             return
         link = self._links.get(message.address)
         if link is None or link.task.done():
@@ -160,24 +165,24 @@
         link.put(self._encode(message.message))
 
     def _encode(self, message) -> bytes:
-        """Return a message as a frame's body; one that goes to many is encoded once."""
-        if message is not self._encoded:
-            kind = _KINDS[type(message)]
-            self._body = bytes([kind]) + codec.encode(message)
-            self._encoded = message
-        return self._body
+        """Return the frame body of a message; cached, as one message may go to many."""
+        if message is not self._last_encoded:
+            code = _TYPE_CODES[type(message)]
+            self._last_body = bytes([code]) + codec.encode(message)
+            self._last_encoded = message
+        return self._last_body
 
     def cut(self, addresses: set[str]) -> None:
-        """Drop all traffic from and to these peers; for tests of cuts."""
-        self._cut = set(addresses)
+        """Drop all traffic from and to these peers; for tests of network partitions."""
+        self._blocked = set(addresses)
 
-    def lost(self, address: str, refused: bool) -> None:
-        """Report a broken connection."""
+    def report_lost(self, address: str, refused: bool) -> None:
+        """Report a broken connection to `deliver`."""
         self._deliver(LinkLost(address, refused))
 
     async def _serve(self, reader, writer) -> None:
         task = asyncio.current_task()
-        self._readers.add(task)
+        self._receive_tasks.add(task)
         peer = str(writer.get_extra_info("peername"))
         try:
             await self._receive(reader, writer)
@@ -186,15 +191,15 @@
         except (OSError, EOFError, asyncio.CancelledError):
             pass
         finally:
-            self._readers.discard(task)
+            self._receive_tasks.discard(task)
             writer.close()
 
     async def _receive(self, reader, writer) -> None:
         nonce = secrets.token_bytes(NONCE_BYTES)
         writer.write(nonce)
         async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
-            theirs = await reader.readexactly(NONCE_BYTES)
-            authenticator = Authenticator(self._key, theirs + nonce)
+            peer_nonce = await reader.readexactly(NONCE_BYTES)
+            authenticator = Authenticator(self._key, peer_nonce + nonce)
             sender = (await read_frame(reader, authenticator)).decode()
         acknowledgement: asyncio.TimerHandle | None = None
         loop = asyncio.get_running_loop()
@@ -206,32 +211,32 @@
                         ACKNOWLEDGE_AFTER_S, writer.write, _ACKNOWLEDGEMENT
                     )
                 message = codec.decode(MESSAGES[body[0]], body[1:])
-                if sender not in self._cut:
+                if sender not in self._blocked:
                     self._deliver(Received(sender, message))
         finally:
             if acknowledgement:
                 acknowledgement.cancel()
 
     async def connect(self, address: str):
-        """Return a writer and its authenticator after the handshake."""
+        """Do the handshake with a peer; return reader, writer and authenticator."""
         host, _, port = address.rpartition(":")
         async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, int(port))
-            theirs = await reader.readexactly(NONCE_BYTES)
+            peer_nonce = await reader.readexactly(NONCE_BYTES)
         nonce = secrets.token_bytes(NONCE_BYTES)
-        authenticator = Authenticator(self._key, nonce + theirs)
+        authenticator = Authenticator(self._key, nonce + peer_nonce)
         writer.write(nonce + authenticator.frame(self._address.encode()))
         return reader, writer, authenticator
 
 
 class _Link:
-    """One outgoing connection, made anew when it breaks while there is traffic."""
+    """An outgoing connection that reconnects after a failure."""
 
     def __init__(self, links: PeerLinks, address: str) -> None:
         self._links = links
         self._address = address
-        self._queue: asyncio.Queue = asyncio.Queue(QUEUE_LENGTH)
-        # When the first frame was written that is not acknowledged yet.
+        self._queue: asyncio.Queue = asyncio.Queue(MAX_QUEUED_MESSAGES)
+        # Time of the first write that has not been acknowledged.
         self._unacknowledged_since: float | None = None
         self.task = asyncio.create_task(self._run(), name=f"link {address}")
 
@@ -247,25 +252,25 @@
             try:
                 reader, writer, authenticator = await self._links.connect(self._address)
                 backoff = FIRST_BACKOFF_S
-                await self._write_all(reader, writer, authenticator)
+                await self._write_queued(reader, writer, authenticator)
             except ConnectionRefusedError:
                 refused = True
             except (OSError, EOFError, TimeoutError):
                 pass
-            self._links.lost(self._address, refused)
+            self._links.report_lost(self._address, refused)
             await asyncio.sleep(backoff)
             backoff = min(MAX_BACKOFF_S, backoff * 2)
 
-    async def _write_all(self, reader, writer, authenticator) -> None:
-        """Write what is queued, all that waits at once, until the peer closes.
+    async def _write_queued(self, reader, writer, authenticator) -> None:
+        """Write queued frames in batches until the peer closes the connection.
 
         Raises
         ------
         TimeoutError
-            If the peer does not tell that frames come.
+            If the peer does not acknowledge frames in time.
         """
         self._unacknowledged_since = None
-        watch = asyncio.create_task(self._watch(reader))
+        acknowledgements = asyncio.create_task(self._read_acknowledgements(reader))
         try:
             while (body := await self._queue.get()) is not None:
                 frames = [authenticator.frame(body)]
@@ -273,23 +278,25 @@
                     frames.append(authenticator.frame(more))
                 data = b"".join(frames)
                 self._links.bytes_sent += len(data)
-                self._expect_acknowledgement()
+                self._check_acknowledgement()
                 writer.write(data)
                 await writer.drain()
         finally:
-            watch.cancel()
+            acknowledgements.cancel()
             writer.close()
 
-    def _expect_acknowledgement(self) -> None:
+    def _check_acknowledgement(self) -> None:
         now = asyncio.get_running_loop().time()
         if self._unacknowledged_since is None:
             self._unacknowledged_since = now
         elif now > self._unacknowledged_since + SILENT_AFTER_S:
-            raise TimeoutError("the peer has fallen silent")
+            raise TimeoutError(
+                f"no acknowledgement from the peer for {SILENT_AFTER_S} s"
+            )
 
-    async def _watch(self, reader) -> None:
-        """Take note of what the peer acknowledges; wake the writing when it closes."""
+    async def _read_acknowledgements(self, reader) -> None:
+        """Record acknowledgements; wake the writer when the peer closes."""
         with contextlib.suppress(OSError):
-            while await reader.read(ACKNOWLEDGEMENTS_READ):
+            while await reader.read(ACKNOWLEDGEMENT_READ_BYTES):
                 self._unacknowledged_since = None
         self.put(None)
--- a/tests/test_peerlink.py
+++ b/tests/test_peerlink.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.peerlink: connections between instances that fail in odd ways."""
+"""Tests of hibiscusstep.peerlink: connections between instances that fail."""
 
 import asyncio
 
@@ -14,11 +14,11 @@
 KEY = "a-key-for-tests-only"
 
 
-class _Pair:
-    """Two instances' links; what the first sends passes a proxy."""
+class _LinkPair:
+    """The links of two instances; the traffic of the sender passes through a proxy."""
 
     async def __aenter__(self):
-        self.got = []
+        self.received_pools = []
         ports = [free_port() for _ in range(2)]
         receiver = PeerLinks(f"127.0.0.1:{ports[0]}", KEY, self._deliver)
         self.sender = PeerLinks(f"127.0.0.1:{ports[1]}", KEY, lambda _message: None)
@@ -36,27 +36,27 @@
 
     def _deliver(self, message):
         if isinstance(message, Received):
-            self.got.append(message.message.pool)
+            self.received_pools.append(message.message.pool)
 
     async def send_until(self, name):
-        """Send a message again and again, as heartbeats go, until it has come."""
+        """Send a message periodically, like heartbeats, until it arrives."""
         async with asyncio.timeout(BOUND_S):
-            while name not in self.got:
+            while name not in self.received_pools:
                 self.sender.tell(Send(self.proxy.address, PoolQueued(name)))
                 await asyncio.sleep(0.05)
 
 
-class TestSilence:
-    async def test_a_connection_that_went_silent_for_good_is_made_anew(self):
-        """No reset comes, and what is written is swallowed; new connections work."""
-        async with _Pair() as pair:
+class TestSilentConnection:
+    async def test_replaces_a_connection_that_stopped_delivering(self):
+        """The proxy discards all bytes without a reset; new connections work."""
+        async with _LinkPair() as pair:
             await pair.send_until("before")
             pair.proxy.silence_open()
             await pair.send_until("after")
 
     @pytest.mark.parametrize("mode", [Mode.CUT_UP, Mode.SILENT])
-    async def test_after_a_cut_messages_come_again(self, mode):
-        async with _Pair() as pair:
+    async def test_delivers_messages_again_after_a_partition(self, mode):
+        async with _LinkPair() as pair:
             await pair.send_until("before")
             pair.proxy.set(mode)
             pair.sender.tell(Send(pair.proxy.address, PoolQueued("lost")))
@@ -64,11 +64,11 @@
             pair.proxy.set(Mode.PASS)
             await pair.send_until("after")
 
-    async def test_a_quiet_connection_is_kept(self, monkeypatch):
-        """What was acknowledged long ago is no reason to connect again."""
+    async def test_keeps_an_idle_connection(self, monkeypatch):
+        """An idle connection without unacknowledged frames is not replaced."""
         monkeypatch.setattr("hibiscusstep.peerlink.SILENT_AFTER_S", 0.4)
         monkeypatch.setattr("hibiscusstep.peerlink.ACKNOWLEDGE_AFTER_S", 0.01)
-        async with _Pair() as pair:
+        async with _LinkPair() as pair:
             await pair.send_until("before")
             link = pair.sender._links[pair.proxy.address]
             async with asyncio.timeout(BOUND_S):
@@ -80,24 +80,24 @@
             assert pair.proxy._writers == writers
 
 
-class TestMessageToMany:
-    """Encoding the same message for each peer took half of a relay's processor time."""
+class TestMessageToManyPeers:
+    """Encoding the same message for each peer took half of a relay's CPU time."""
 
-    async def test_is_encoded_once_and_comes_to_each(self, monkeypatch):
+    async def test_is_encoded_once_and_delivered_to_each(self, monkeypatch):
         encoded = []
         encode = codec.encode
         monkeypatch.setattr(
             codec, "encode", lambda item: encoded.append(item) or encode(item)
         )
-        async with _Pair() as pair:
+        async with _LinkPair() as pair:
             await pair.send_until("before")
             encoded.clear()
-            news = PoolQueued("news")
+            shared = PoolQueued("news")
             for _ in range(3):
-                pair.sender.tell(Send(pair.proxy.address, news))
+                pair.sender.tell(Send(pair.proxy.address, shared))
             pair.sender.tell(Send(pair.proxy.address, PoolQueued("other")))
             async with asyncio.timeout(BOUND_S):
-                while "other" not in pair.got:
+                while "other" not in pair.received_pools:
                     await asyncio.sleep(0.01)
-            assert pair.got[-4:] == ["news"] * 3 + ["other"]
+            assert pair.received_pools[-4:] == ["news"] * 3 + ["other"]
             assert len(encoded) == 2
