--- a/hibiscusstep/mailbox.py
+++ b/hibiscusstep/mailbox.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.mailbox: a task that owns its state and is spoken to by messages."""
+"""hibiscusstep.mailbox: tasks that own their state and communicate by messages."""
 
 import asyncio
 import contextlib
@@ -14,19 +14,19 @@
 
 
 class MailboxFull(HibiscusstepError):
-    """The worker has too many messages waiting; the message was not taken."""
+    """The mailbox is at capacity; the message was not queued."""
 
 
 @dataclass(slots=True, eq=False)
 class Question:
-    """A message that wants an answer.
+    """A message that expects a reply.
 
     Parameters
     ----------
     body : object
-        The typed message.
+        The typed request.
     answer : asyncio.Future
-        Where the worker puts the answer.
+        Future that receives the reply.
     """
 
     body: Any
@@ -35,27 +35,27 @@
     )
 
     def reply(self, value: Any) -> None:
-        """Give the answer, unless the asker has left."""
+        """Set the reply, unless the caller was cancelled."""
         if not self.answer.done():
             self.answer.set_result(value)
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """The worker's tick interval has passed."""
+    """Sent to a worker when its tick interval has passed."""
 
 
 class Worker(ABC):
-    """A task with a bounded mailbox. Only the task touches the worker's state.
+    """A task with a bounded mailbox; only this task accesses the worker's state.
 
     Parameters
     ----------
     name : str
         Name in the supervisor tree.
     capacity : int
-        Messages that may wait.
+        Maximum number of queued messages.
     tick_interval : float
-        Seconds between `Tick` messages; 0 is none.
+        Seconds between `Tick` messages; 0 disables them.
     """
 
     def __init__(
@@ -76,12 +76,12 @@
         return self._name
 
     def tell(self, message: Any) -> None:
-        """Leave a message.
+        """Queue a message without waiting.
 
         Raises
         ------
         MailboxFull
-            If too many wait.
+            If the mailbox is at capacity.
         """
         try:
             self._mailbox.put_nowait(message)
@@ -89,28 +89,28 @@
             raise MailboxFull("mailbox full", step="tell", peer=self._name) from None
 
     async def ask(self, body: Any) -> Any:
-        """Leave a message and wait for its answer."""
+        """Queue a request and wait for its reply."""
         question = Question(body)
         self.tell(question)
         return await question.answer
 
     async def start(self) -> None:  # noqa: B027
-        """Set the state up; called at each (re)start before the first message."""
+        """Set up the state; called at each (re)start before the first message."""
 
     async def stop(self) -> None:  # noqa: B027
-        """Give back what the worker holds; called when it ends for any reason."""
+        """Release resources; called when the worker ends for any reason."""
 
     @abstractmethod
     async def handle(self, message: Any) -> None:
-        """Take one message."""
+        """Process one message."""
 
     @property
     def tick_interval(self) -> float:
-        """Seconds until the next `Tick`; a worker with less to do may take longer."""
+        """Seconds until the next `Tick`; idle workers may override it with more."""
         return self._tick_interval
 
     async def run(self) -> None:
-        """Take messages until cancelled."""
+        """Process messages until cancelled."""
         await self.start()
         if self._tick_interval:
             self._tick()
@@ -123,14 +123,14 @@
             await self.stop()
 
     def _tick(self) -> None:
-        # Where too many messages wait, the worker is awake anyway.
+        # With a full mailbox the worker runs anyway, so the tick can be skipped.
         with contextlib.suppress(MailboxFull):
             self.tell(Tick())
         self._next_tick = None
         self._tick_in(self.tick_interval)
 
     def _tick_in(self, seconds: float) -> None:
-        """Let the next tick come after so many seconds, or sooner if it is due."""
+        """Schedule the next tick in `seconds`, unless an earlier one is scheduled."""
         loop = asyncio.get_running_loop()
         due = loop.time() + seconds
         if self._next_tick:
--- a/hibiscusstep/supervisor.py
+++ b/hibiscusstep/supervisor.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.supervisor: the tree of tasks, restarted or brought down together."""
+"""hibiscusstep.supervisor: runs, restarts and stops a tree of tasks."""
 
 import asyncio
 import enum
@@ -17,15 +17,15 @@
 
 
 class Restart(enum.Enum):
-    """What the end of a child means."""
+    """When a child is restarted after it ends."""
 
-    PERMANENT = "restart it whenever it ends"
-    TRANSIENT = "restart it when it crashes; a normal end is an end"
-    ESSENTIAL = "a crash takes the supervisor down"
+    PERMANENT = "always restart"
+    TRANSIENT = "restart after a crash only"
+    ESSENTIAL = "a crash stops the supervisor"
 
 
 class TooManyRestarts(HibiscusstepError):
-    """A child crashed more often than the supervisor puts up with."""
+    """A child crashed more often than allowed, or an essential child crashed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,9 +37,9 @@
     name : str
         Name in logs.
     run : callable returning an awaitable
-        Starts the task anew.
+        Body of the task; called for each (re)start.
     restart : Restart
-        What its end means.
+        Whether the child is restarted after it ends.
     """
 
     name: str
@@ -48,7 +48,7 @@
 
 
 class Supervisor:
-    """Runs children in order, restarts them with backoff, stops them in reverse.
+    """Starts children in order, restarts them with backoff, stops them in reverse.
 
     Parameters
     ----------
@@ -57,9 +57,9 @@
     children : sequence of Child
         Started in this order.
     max_restarts : int
-        Crashes of one child within `window_s` seconds that are put up with.
+        Maximum number of restarts of one child within `window_s`.
     window_s : float
-        See `max_restarts`, in seconds.
+        Seconds over which restarts are counted.
     """
 
     def __init__(
@@ -73,23 +73,24 @@
 
     @property
     def restarts(self) -> int:
-        """How many times a child was restarted."""
+        """Total number of restarts of children."""
         return self._restarts
 
     async def run(self) -> None:
-        """Run all children until one brings the supervisor down or it is cancelled.
+        """Run all children until the supervisor fails or is cancelled.
 
         Raises
         ------
         TooManyRestarts
-            If a child crashed too often, or an essential one once.
+            If a child crashed too often, or an essential child crashed once.
         """
         tasks = [
-            asyncio.create_task(self._keep(child), name=child.name)
+            asyncio.create_task(self._run_with_restarts(child), name=child.name)
             for child in self._children
         ]
         try:
-            # Not gather: it would cancel all at once, and again below, in mid-cleanup.
+            # gather() would cancel all children at once, and the loop below would do so
+            # again during their cleanup.
             done, _running = await asyncio.wait(
                 tasks, return_when=asyncio.FIRST_EXCEPTION
             )
@@ -100,7 +101,7 @@
                 task.cancel()
                 await asyncio.gather(task, return_exceptions=True)
 
-    async def _keep(self, child: Child) -> None:
+    async def _run_with_restarts(self, child: Child) -> None:
         crashes: deque[float] = deque()
         loop = asyncio.get_running_loop()
         while True:
@@ -110,7 +111,7 @@
             crashes.append(loop.time())
             while crashes and crashes[0] < loop.time() - self._window_s:
                 crashes.popleft()
-            self._judge(child, cause, len(crashes))
+            self._check_restart_limit(child, cause, len(crashes))
             backoff = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2 ** (len(crashes) - 1))
             await asyncio.sleep(backoff)
             self._restarts += 1
@@ -123,7 +124,9 @@
             return cause
         return None
 
-    def _judge(self, child: Child, cause: Exception | None, crashes: int) -> None:
+    def _check_restart_limit(
+        self, child: Child, cause: Exception | None, crashes: int
+    ) -> None:
         fatal = child.restart is Restart.ESSENTIAL and cause is not None
         if fatal or crashes > self._max_restarts:
             raise TooManyRestarts(
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -1,3 +1,5 @@
+"""Tests of hibiscusstep.supervisor and of the bounded mailbox."""
+
 import asyncio
 
 import pytest
@@ -6,17 +8,17 @@
 from hibiscusstep.supervisor import Child, Restart, Supervisor, TooManyRestarts
 
 
-class Recorder:
+class StepRecorder:
     def __init__(self):
         self.lines = []
 
     def child(self, name, cleanup=0.0, crashes=0, **options):
-        left = [crashes]
+        crashes_left = [crashes]
 
         async def run():
             self.lines.append(f"{name} starts")
-            if left[0]:
-                left[0] -= 1
+            if crashes_left[0]:
+                crashes_left[0] -= 1
                 raise RuntimeError(name)
             try:
                 await asyncio.Event().wait()
@@ -37,39 +39,39 @@
 
 
 class TestSupervisor:
-    async def test_ends_children_in_reverse_and_lets_each_clean_up(self):
-        record = Recorder()
-        children = [record.child(name, cleanup=0.02) for name in "abc"]
-        await run_until(Supervisor("s", children), lambda: len(record.lines) == 3)
-        assert record.lines[3:] == ["c cleaned up", "b cleaned up", "a cleaned up"]
+    async def test_stops_children_in_reverse_after_their_cleanup(self):
+        recorder = StepRecorder()
+        children = [recorder.child(name, cleanup=0.02) for name in "abc"]
+        await run_until(Supervisor("s", children), lambda: len(recorder.lines) == 3)
+        assert recorder.lines[3:] == ["c cleaned up", "b cleaned up", "a cleaned up"]
 
     async def test_restarts_a_crashed_child(self):
-        record = Recorder()
-        supervisor = Supervisor("s", [record.child("a", crashes=2)])
-        await run_until(supervisor, lambda: len(record.lines) == 3)
+        recorder = StepRecorder()
+        supervisor = Supervisor("s", [recorder.child("a", crashes=2)])
+        await run_until(supervisor, lambda: len(recorder.lines) == 3)
         assert supervisor.restarts == 2
 
-    async def test_an_essential_child_takes_it_down(self):
-        record = Recorder()
+    async def test_fails_when_an_essential_child_crashes(self):
+        recorder = StepRecorder()
         children = [
-            record.child("other"),
-            record.child("a", crashes=1, restart=Restart.ESSENTIAL),
+            recorder.child("other"),
+            recorder.child("a", crashes=1, restart=Restart.ESSENTIAL),
         ]
         ended = await run_until(Supervisor("s", children), lambda: False)
         assert isinstance(ended, TooManyRestarts) and "a ended" in str(ended)
-        assert record.lines[-1] == "other cleaned up"
+        assert recorder.lines[-1] == "other cleaned up"
 
-    async def test_too_many_crashes_take_it_down(self):
-        record = Recorder()
-        supervisor = Supervisor("s", [record.child("a", crashes=9)], max_restarts=2)
+    async def test_fails_after_too_many_crashes(self):
+        recorder = StepRecorder()
+        supervisor = Supervisor("s", [recorder.child("a", crashes=9)], max_restarts=2)
         assert isinstance(await run_until(supervisor, lambda: False), TooManyRestarts)
 
 
-class TestMailbox:
+class TestWorkerMailbox:
     async def test_is_bounded(self):
         class Idle(Worker):
             async def handle(self, message):
-                """Take nothing."""
+                """Ignore the message."""
 
         worker = Idle("idle", capacity=1)
         worker.tell(1)
