--- a/hibiscusstep/operations.py
+++ b/hibiscusstep/operations.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.operations: what operators ask of running instances."""
+"""hibiscusstep.operations: HTTP client of the instances' operator API."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,12 +9,12 @@
 
 __all__ = ["OperatorClient"]
 
-POLL_S = 0.2
+POLL_INTERVAL_S = 0.2
 TIMEOUT_S = 5.0
 
 
 class OperatorClient:
-    """Speaks to the operators' port of an instance, and through it of all.
+    """Client of one instance's operator API, which also finds the other instances.
 
     Parameters
     ----------
@@ -30,7 +30,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def close(self) -> None:
-        """Give back the sockets."""
+        """Close the connections."""
         if self._session:
             await self._session.close()
 
@@ -40,23 +40,23 @@
         Raises
         ------
         PeerError
-            If the instance does not answer, or not so.
+            If the instance does not answer, or answers with an error.
         """
         return await self._get(self._address, "/status")
 
     async def explain(self, request: str) -> list[dict]:
-        """Return the steps of a request, from the instance that held it."""
-        holder = request.rpartition("-")[0]
+        """Return the steps of a request from the instance that held it."""
+        instance = request.rpartition("-")[0]
         members = (await self.status())["members"]
         addresses = {member["name"]: member["operator_address"] for member in members}
-        if holder not in addresses:
+        if instance not in addresses:
             names = ", ".join(addresses)
             raise PeerError(
-                f"instance {holder!r} of the id is not alive; alive: {names}",
+                f"instance {instance!r} of the request is not live; live: {names}",
                 step="explain",
                 peer=self._address,
             )
-        return await self._get(addresses[holder], f"/explain/{request}")
+        return await self._get(addresses[instance], f"/explain/{request}")
 
     async def wait_in_force(
         self, version: int, timeout: float, log: Callable[[str], None]
@@ -66,21 +66,21 @@
         Returns
         -------
         list of str
-            Names of those that do not have it after `timeout` seconds.
+            Names of the instances that do not have it after `timeout` seconds.
         """
         loop = asyncio.get_running_loop()
         end = loop.time() + timeout
-        last = -1
+        last_pending = -1
         while True:
             members = (await self.status())["members"]
-            behind = [m["name"] for m in members if m["version"] < version]
-            if len(behind) != last:
-                done = len(members) - len(behind)
+            pending = [m["name"] for m in members if m["version"] < version]
+            if len(pending) != last_pending:
+                done = len(members) - len(pending)
                 log(f"in force on {done} of {len(members)} instances")
-                last = len(behind)
-            if not behind or loop.time() > end:
-                return behind
-            await asyncio.sleep(POLL_S)
+                last_pending = len(pending)
+            if not pending or loop.time() > end:
+                return pending
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _get(self, address: str, path: str):
         if self._session is None:
--- a/hibiscusstep/operators.py
+++ b/hibiscusstep/operators.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.operators: the HTTP border towards operators and the balancer."""
+"""hibiscusstep.operators: the HTTP API for operators and the load balancer."""
 
 import asyncio
 import hmac
@@ -16,25 +16,25 @@
 
 
 class OperatorBorder:
-    """Health, readiness, metrics, status and explain.
+    """Serves health, readiness, metrics, status and explain.
 
-    Health and readiness are open, for the balancer; the rest wants the operators'
-    key as Bearer token.
+    Health and readiness are for the load balancer and need no authentication; the rest
+    requires the operators' key as a bearer token.
 
     Parameters
     ----------
     key : str
         The operators' key.
     ready : callable returning bool
-        Whether the balancer may send callers here.
+        Whether the load balancer may send callers to this instance.
     status : callable returning an awaitable of dict
         The instance's view of the system.
     refresh : callable
-        Brings the gauges up to date.
+        Updates the gauges before they are read.
     explainer : Explainer
-        What was decided.
+        Source of the steps of requests.
     metrics : Metrics
-        What is counted.
+        Source of the metrics.
     """
 
     def __init__(
@@ -54,25 +54,27 @@
         self._metrics = metrics
 
     def app(self) -> web.Application:
-        """Return the application."""
-        app = web.Application(middlewares=[self._guard])
+        """Return the aiohttp application."""
+        app = web.Application(middlewares=[self._check_key])
         app.add_routes(
             [
                 web.get("/health", self._health),
                 web.get("/ready", self._readiness),
-                web.get("/metrics", self._render),
-                web.get("/status", self._tell_status),
+                web.get("/metrics", self._metrics_text),
+                web.get("/status", self._system_status),
                 web.get("/explain/{request}", self._explain),
             ]
         )
         return app
 
     @web.middleware
-    async def _guard(self, request: web.Request, handler) -> web.StreamResponse:
+    async def _check_key(self, request: web.Request, handler) -> web.StreamResponse:
         if request.path not in ("/health", "/ready"):
-            given = request.headers.get("Authorization", "").encode()
-            if not hmac.compare_digest(given, f"Bearer {self._key}".encode()):
-                return web.json_response({"error": "operators' key wanted"}, status=401)
+            authorization = request.headers.get("Authorization", "").encode()
+            if not hmac.compare_digest(authorization, f"Bearer {self._key}".encode()):
+                return web.json_response(
+                    {"error": "the operators' key is required"}, status=401
+                )
         return await handler(request)
 
     async def _health(self, _request: web.Request) -> web.Response:
@@ -83,12 +85,12 @@
             return web.Response(text="ready\n")
         return web.Response(status=503, text="not ready\n")
 
-    async def _render(self, _request: web.Request) -> web.Response:
+    async def _metrics_text(self, _request: web.Request) -> web.Response:
         self._refresh()
         content, headers = self._metrics.render()
         return web.Response(body=content, headers=headers)
 
-    async def _tell_status(self, _request: web.Request) -> web.Response:
+    async def _system_status(self, _request: web.Request) -> web.Response:
         try:
             async with asyncio.timeout(STATUS_TIMEOUT_S):
                 return web.json_response(await self._status())
@@ -98,5 +100,7 @@
     async def _explain(self, request: web.Request) -> web.Response:
         notes = self._explainer.explain(request.match_info["request"])
         if not notes:
-            return web.json_response({"error": "not remembered here"}, status=404)
+            return web.json_response(
+                {"error": "no steps of this request on this instance"}, status=404
+            )
         return web.json_response([asdict(note) for note in notes])
--- a/hibiscusstep/store.py
+++ b/hibiscusstep/store.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.store: the platform's object service, as the system sees it."""
+"""hibiscusstep.store: abstract interfaces to the platform's object service."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Versioned:
-    """An object of the platform.
+    """An object of the platform with its version.
 
     Parameters
     ----------
     key : str
-        Its name.
+        Name of the object.
     version : int
-        Grows with every write of the object.
+        Increases with every write of the object.
     value : bytes
         At most one megabyte.
     """
@@ -47,16 +47,16 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceRecord:
-    """An entry of the platform's lagging list of instances.
+    """An entry of the platform's list of instances, which lags behind.
 
     Parameters
     ----------
     name, data_centre, peer_address : str
-        Who and where.
+        Name and location of the instance.
     leaving : bool
-        Whether the platform is about to replace it.
+        Whether the platform is about to replace the instance.
     capacity : int
-        Work that it can bear, in hundredths of a core or what its link allows.
+        Capacity for work, in hundredths of a core or as limited by its link.
     """
 
     name: str
@@ -68,24 +68,24 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreRestored:
-    """The store came back from an older copy: what was written lately is gone."""
+    """The store was restored from an older copy, so recent writes are lost."""
 
 
 class Roster(ABC):
-    """Knows which instances there are; behind the truth by seconds."""
+    """Lists the instances; the list lags by seconds."""
 
     @abstractmethod
     async def instances(self) -> Result[list[InstanceRecord], PlatformError]:
-        """Return the lagging list of live and leaving instances."""
+        """Return the live and leaving instances."""
 
 
 class HistoryLost(PlatformError):
-    """The changes since a revision are not to be had; list again."""
+    """The changes since a revision are no longer available; list again."""
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """An object was written, or removed where `item` is None."""
+    """A write of an object, or its removal if `item` is None."""
 
     name: str
     item: object | None
@@ -94,10 +94,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """All objects of a kind by name, and the store's revision at that moment.
+    """All objects of a kind by name, with the store's revision at that time.
 
-    `era` rises when the store came back from an older copy, which may lack objects for
-    a moment; 0 where it is not known. A revision of a higher era is higher.
+    `era` increases when the store is restored from an older copy, which may lack
+    objects for a moment; it is 0 if unknown. Any revision of a higher era is newer than
+    those of lower eras.
     """
 
     items: dict[str, object]
@@ -106,14 +107,14 @@
 
 
 class Feed(ABC):
-    """Objects of one kind, decoded: a list, and the changes since.
+    """Lists and watches the decoded objects of one kind.
 
     Attributes
     ----------
     name : str
-        For logs.
+        Name in logs.
     left_out : int
-        Objects that could not be decoded so far, each revision once.
+        Number of objects that could not be decoded so far, each revision counted once.
     """
 
     name: str
@@ -121,57 +122,57 @@
 
     @abstractmethod
     async def read_all(self) -> Result[Listing, PlatformError]:
-        """Return all objects as they are now; what cannot be decoded is left out."""
+        """Return all current objects except those that cannot be decoded."""
 
     @abstractmethod
     async def watch(
         self, revision: int, timeout: float
     ) -> Result[tuple[list[Change], int], PlatformError]:
-        """Return the changes since a revision and the revision to go on from.
+        """Return the changes since a revision, and the revision to continue from.
 
-        Waits up to `timeout` seconds for a first one. `HistoryLost` says that the
-        store has forgotten them.
+        Waits up to `timeout` seconds for the first change. The error is `HistoryLost`
+        if the store no longer has the changes.
         """
 
 
 class BeliefStore(ABC):
-    """Keeps a small document for each pool, for the time after a restart of all."""
+    """Stores a document of estimates per pool; read after all instances restart."""
 
     @abstractmethod
     async def write(self, pool: str, document: dict) -> Result[None, PlatformError]:
-        """Write the document of a pool; the last one written stands."""
+        """Write the document of a pool; the last write wins."""
 
     @abstractmethod
     async def read_all(self) -> Result[dict[str, dict], PlatformError]:
-        """Return the documents by pool; they may be some seconds old."""
+        """Return the documents by pool; they may be seconds old."""
 
 
 class UseStore(ABC):
-    """Keeps a small document of customers' use, for the time after a restart of all."""
+    """Stores a document of customers' usage; read after all instances restart."""
 
     @abstractmethod
     async def write(self, document: dict) -> Result[None, PlatformError]:
-        """Write the document; the last one written stands."""
+        """Write the document; the last write wins."""
 
     @abstractmethod
     async def read(self) -> Result[dict | None, PlatformError]:
-        """Return the document as it is now, None if there is none."""
+        """Return the current document, None if there is none."""
 
 
 class SuspectStore(ABC):
-    """Keeps a small document of requests that crash targets, as `UseStore` does."""
+    """Stores a document of requests that crash targets; read as in `UseStore`."""
 
     @abstractmethod
     async def write(self, document: dict) -> Result[None, PlatformError]:
-        """Write the document; the last one written stands."""
+        """Write the document; the last write wins."""
 
     @abstractmethod
     async def read(self) -> Result[dict | None, PlatformError]:
-        """Return the document as it is now, None if there is none."""
+        """Return the current document, None if there is none."""
 
 
 class RolloutStore(ABC):
-    """Has operators' orders to change pools' versions.
+    """Reads operators' rollout orders; stores their status and progress.
 
     Attributes
     ----------
@@ -185,39 +186,39 @@
     async def write_state(
         self, order: RolloutOrder, state: RolloutState
     ) -> Result[RolloutOrder, PlatformError]:
-        """Write the status of an order, if it is as it was seen; return it since.
+        """Write the status of an order if the order is unchanged; return the new order.
 
-        `PlatformConflict` says that it has changed, `PlatformUnavailable` that the
-        status may or may not stand.
+        The error is `PlatformConflict` if the order has changed, and
+        `PlatformUnavailable` if the write may or may not have taken effect.
         """
 
     @abstractmethod
     async def write_kept(
         self, pool: str, document: dict
     ) -> Result[None, PlatformError]:
-        """Write how far a pool's order was carried out; the last one written stands."""
+        """Write the progress of a pool's order; the last write wins."""
 
     @abstractmethod
     async def read_kept(self, pool: str) -> Result[dict | None, PlatformError]:
-        """Return that document as it is now, None if there is none."""
+        """Return the current progress of a pool's order, None if there is none."""
 
 
 class Platform(Roster):
-    """Object service with versions, conditional updates and watches.
+    """An object service with versions, conditional updates and watches.
 
-    Each method is one counted call; none is repeated here. An error of type
-    `PlatformUnavailable` after a write says that it may or may not stand.
+    Each method makes one call to the platform, which is counted, and does not retry.
+    After a `PlatformUnavailable` error a write may or may not have taken effect.
     """
 
     @abstractmethod
     async def get(self, key: str) -> Result[Versioned, PlatformError]:
-        """Return the object."""
+        """Return the object of a key."""
 
     @abstractmethod
     async def put(
         self, key: str, value: bytes, expected: int
     ) -> Result[int, PlatformError]:
-        """Write if the version is `expected` (0: if it does not exist).
+        """Write if the version is `expected`; 0 means that the object does not exist.
 
         Returns
         -------
@@ -233,14 +234,14 @@
     async def watch(
         self, key: str, after: int, timeout: float
     ) -> Result[Versioned | None, PlatformError]:
-        """Wait until the version is above `after`; None after `timeout` seconds."""
+        """Wait for a version above `after`; return None after `timeout` seconds."""
 
     async def close(self) -> None:
-        """Give back the sockets."""
+        """Close the connections."""
 
 
 def get_platform_by_name(name: str) -> type[Platform]:
-    """Return the platform class of a dialect's name.
+    """Return the platform class of a dialect by its name.
 
     Raises
     ------
