--- a/hibiscusstep/checker.py
+++ b/hibiscusstep/checker.py
@@ -1,7 +1,7 @@
-"""hibiscusstep.checker: finds in a recorded history where a promise was broken.
+"""hibiscusstep.checker: finds violations of the guarantees in a recorded history.
 
-The promises and the exact meaning of their words are in docs/PROMISES.md; each
-function here is one of them.
+The guarantees are defined in docs/PROMISES.md; each function in `PREDICATES` checks
+one of them.
 """
 
 from collections import defaultdict
@@ -10,13 +10,13 @@
 
 from hibiscusstep.events import Event, EventKind
 
-__all__ = ["ENDS", "PREDICATES", "Finding", "check_history"]
+__all__ = ["ENDS", "PREDICATES", "Violation", "check_history"]
 
 CLOCK_SLACK_S = 0.25
 LEAVING_BOUND_S = 3.0
 IN_FORCE_BOUND_S = 12.0
 LOAD_REFUSALS = frozenset({"overloaded", "deadline", "displaced"})
-SAYS_EARLIER_NOT_KNOWN = frozenset({"claims-unavailable", "key-reused"})
+EARLIER_RUN_UNKNOWN = frozenset({"claims-unavailable", "key-reused"})
 ENDS = frozenset(
     {
         EventKind.COMPLETED,
@@ -30,17 +30,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Finding:
-    """A broken promise.
+class Violation:
+    """A violation of a guarantee.
 
     Parameters
     ----------
     promise : str
-        Name of the predicate.
+        Name of the guarantee.
     detail : str
-        What was seen, in a line.
+        Description in one line.
     events : tuple of Event
-        Those that break it.
+        The events that violate it.
     """
 
     promise: str
@@ -48,7 +48,7 @@
     events: tuple[Event, ...]
 
     def __str__(self) -> str:
-        """Return the finding with its events, one a line."""
+        """Return the violation and its events, one per line."""
         lines = [f"{self.promise}: {self.detail}"]
         lines += [
             f"    {event.at:.4f} {event.kind} {event.request} {event.attempt} "
@@ -58,22 +58,24 @@
         return "\n".join(lines)
 
 
-def check_history(events: Iterable[Event], killed: Iterable[str] = ()) -> list[Finding]:
-    """Return every broken promise of a history.
+def check_history(
+    events: Iterable[Event], killed: Iterable[str] = ()
+) -> list[Violation]:
+    """Return all violations in a history.
 
     Parameters
     ----------
     events : iterable of Event
         In order of time.
     killed : iterable of str
-        Instances that were killed; what they held may lack an end.
+        Instances that were killed; their requests may lack a terminal event.
     """
     history = _History(list(events), frozenset(killed))
     return [finding for check in PREDICATES for finding in check(history)]
 
 
 class _History:
-    """A history with the tables that several predicates use."""
+    """A history with indexes that several predicates use."""
 
     def __init__(self, events: list[Event], killed: frozenset[str]) -> None:
         self.events = events
@@ -90,31 +92,34 @@
         ]
         self.served = [event for event in events if event.kind is EventKind.SERVED]
 
-    def death(self, event: Event) -> float:
-        """Return when the event's process was killed, infinity if it was not."""
+    def killed_at(self, event: Event) -> float:
+        """Return when the event's process was killed; infinity if it was not."""
         if event.instance not in self.killed:
             return float("inf")
         return max(e.at for e in self.events if e.incarnation == event.incarnation)
 
-    def of(self, kind: EventKind) -> list[Event]:
+    def of_kind(self, kind: EventKind) -> list[Event]:
         return [event for event in self.events if event.kind is kind]
 
     def first(self, request: str, kind: EventKind) -> Event | None:
         return next((e for e in self.by_request[request] if e.kind is kind), None)
 
     def key_of(self, request: str) -> str:
-        return next((e.key for e in self.by_request[request] if _own(e) and e.key), "")
+        return next(
+            (e.key for e in self.by_request[request] if _is_from_instance(e) and e.key),
+            "",
+        )
 
     def idempotent(self, request: str) -> bool:
         return any(event.idempotent for event in self.by_request[request])
 
 
-def _own(event: Event) -> bool:
+def _is_from_instance(event: Event) -> bool:
     return event.kind is not EventKind.SERVED
 
 
-def at_most_once(history: _History) -> Iterator[Finding]:
-    """Yield keys, and requests without one, that were run more than once."""
+def at_most_once(history: _History) -> Iterator[Violation]:
+    """Yield keys, and requests without a key, that ran more than once."""
     runs: dict[str, list[Event]] = defaultdict(list)
     for event in history.served:
         if not history.idempotent(event.request):
@@ -127,69 +132,74 @@
         for name, found in table.items():
             if len(found) > 1:
                 detail = f"{name} reached a target {len(found)} times"
-                yield Finding("at most once", detail, tuple(found))
+                yield Violation("at most once", detail, tuple(found))
 
 
-def not_run(history: _History) -> Iterator[Finding]:
-    """Yield requests that were said to be not run, and were."""
+def not_run(history: _History) -> Iterator[Violation]:
+    """Yield requests that were reported as not run but were dispatched or served."""
     ran = defaultdict(list)
     for event in (*history.dispatched, *history.served):
         ran[event.request].append(event)
         key = history.key_of(event.request)
         if key:
             ran[key].append(event)
-    for refusal in history.of(EventKind.REFUSED):
+    for refusal in history.of_kind(EventKind.REFUSED):
         if ran[refusal.request]:
-            detail = f"{refusal.request} was said to be not run"
-            yield Finding("not run", detail, (refusal, *ran[refusal.request]))
+            detail = f"{refusal.request} was reported as not run but was sent"
+            yield Violation("not run", detail, (refusal, *ran[refusal.request]))
             continue
-        before = [e for e in ran[refusal.key] if refusal.key and e.at < refusal.at]
-        if before and refusal.detail not in SAYS_EARLIER_NOT_KNOWN:
-            detail = f"the key of {refusal.request} ran before it was said not to"
-            yield Finding("not run", detail, (refusal, *before))
+        previous = [e for e in ran[refusal.key] if refusal.key and e.at < refusal.at]
+        if previous and refusal.detail not in EARLIER_RUN_UNKNOWN:
+            detail = (
+                f"the key of {refusal.request} ran before it was reported as not run"
+            )
+            yield Violation("not run", detail, (refusal, *previous))
 
 
-def unknown(history: _History) -> Iterator[Finding]:
-    """Yield outcomes said to be unknown of what nobody can have sent.
+def unknown(history: _History) -> Iterator[Violation]:
+    """Yield unknown outcomes of requests that cannot have been sent.
 
-    Somebody can have: this request was dispatched, or another one with its key had
-    come so far as to wait for its grant, after which it claims the key.
+    A request can have been sent if it was dispatched, or if an earlier request with the
+    same key was queued for a grant, after which it claims the key.
     """
     sent = {event.request for event in history.dispatched}
-    queued = [e for e in history.of(EventKind.QUEUED) if e.key]
-    for event in history.of(EventKind.UNKNOWN):
+    queued = [e for e in history.of_kind(EventKind.QUEUED) if e.key]
+    for event in history.of_kind(EventKind.UNKNOWN):
         earlier = any(
             e.key == event.key and e.request != event.request and e.at < event.at
             for e in queued
         )
         if event.request not in sent and not earlier:
-            detail = f"{event.request} was said to be unknown, and nobody sent it"
-            yield Finding("unknown", detail, (event,))
+            detail = f"{event.request} was reported as unknown but was never sent"
+            yield Violation("unknown", detail, (event,))
 
 
-def tier_order(history: _History) -> Iterator[Finding]:
-    """Yield refusals for load while a lower tier of the pool waits or is served."""
-    spans = [_Span.of(events, history) for events in history.by_request.values()]
-    by_pool: dict[str, list[_Span]] = defaultdict(list)
+def tier_order(history: _History) -> Iterator[Violation]:
+    """Yield refusals for load while a lower tier of the pool waits or runs."""
+    spans = [
+        _RequestSpan.from_events(events, history)
+        for events in history.by_request.values()
+    ]
+    by_pool: dict[str, list[_RequestSpan]] = defaultdict(list)
     for span in spans:
         if span is not None:
             by_pool[span.pool].append(span)
-    for refusal in history.of(EventKind.REFUSED):
+    for refusal in history.of_kind(EventKind.REFUSED):
         if refusal.detail not in LOAD_REFUSALS:
             continue
         queued = history.first(refusal.request, EventKind.QUEUED)
         for span in by_pool[refusal.pool]:
-            if span.rank > refusal.rank and span.offends(refusal.at, queued.at):
+            if span.rank > refusal.rank and span.violates_order(refusal.at, queued.at):
                 detail = (
                     f"{refusal.tier} was refused while {span.tier} "
                     f"{span.state(refusal.at)}"
                 )
-                yield Finding("tier order", detail, (refusal, *span.events))
+                yield Violation("tier order", detail, (refusal, *span.events))
 
 
 @dataclass(frozen=True, slots=True)
-class _Span:
-    """When a request waited and ran."""
+class _RequestSpan:
+    """The times at which a request waited and ran."""
 
     pool: str
     tier: str
@@ -201,28 +211,34 @@
     events: tuple[Event, ...]
 
     @classmethod
-    def of(cls, events: list[Event], history: _History) -> "_Span | None":
-        own = [event for event in events if _own(event)]
-        queued = [e for e in own if e.kind is EventKind.QUEUED]
+    def from_events(
+        cls, events: list[Event], history: _History
+    ) -> "_RequestSpan | None":
+        instance_events = [event for event in events if _is_from_instance(event)]
+        queued = [e for e in instance_events if e.kind is EventKind.QUEUED]
         if not queued:
             return None
-        sent = [e.at for e in own if e.kind is EventKind.DISPATCHED]
-        ends = [e.at for e in own if e.kind in ENDS]
+        sent = [e.at for e in instance_events if e.kind is EventKind.DISPATCHED]
+        ends = [e.at for e in instance_events if e.kind in ENDS]
         never = float("inf")
-        head = queued[0]
+        first_queued = queued[0]
         return cls(
-            head.pool,
-            head.tier,
-            head.rank,
-            head.stoppable,
-            head.at,
+            first_queued.pool,
+            first_queued.tier,
+            first_queued.rank,
+            first_queued.stoppable,
+            first_queued.at,
             min(sent, default=never),
-            max(ends, default=history.death(head)),
-            tuple(own),
+            max(ends, default=history.killed_at(first_queued)),
+            tuple(instance_events),
         )
 
-    def offends(self, at: float, since: float) -> bool:
-        """Whether it waits, or runs though it should not, all around a moment."""
+    def violates_order(self, at: float, since: float) -> bool:
+        """Return whether the request waits, or runs in violation of the tier order.
+
+        It must do so from `CLOCK_SLACK_S` before `at` to `CLOCK_SLACK_S` after it.
+        `since` is when the refused request was queued.
+        """
         early, late = at - CLOCK_SLACK_S, at + CLOCK_SLACK_S
         if self.queued > early or self.ended < late:
             return False
@@ -231,74 +247,80 @@
         return waits or (self.dispatched < early and (self.stoppable or passed))
 
     def state(self, at: float) -> str:
-        """Return a word for what it does at a moment."""
+        """Return a word for the state of the request at a time."""
         return "waits" if self.dispatched > at else "is served"
 
 
-def answered_once(history: _History) -> Iterator[Finding]:
-    """Yield accepted requests without exactly one end."""
-    for received in history.of(EventKind.RECEIVED):
-        events = [e for e in history.by_request[received.request] if _own(e)]
+def answered_once(history: _History) -> Iterator[Violation]:
+    """Yield accepted requests without exactly one terminal event."""
+    for received in history.of_kind(EventKind.RECEIVED):
+        events = [
+            e for e in history.by_request[received.request] if _is_from_instance(e)
+        ]
         ends = [event for event in events if event.kind in ENDS]
         excused = received.instance in history.killed and not ends
         if len(ends) != 1 and not excused:
-            detail = f"{received.request} has {len(ends)} ends"
-            yield Finding("answered once", detail, tuple(events))
+            detail = f"{received.request} has {len(ends)} terminal events"
+            yield Violation("answered once", detail, tuple(events))
 
 
-def leaving_target(history: _History) -> Iterator[Finding]:
-    """Yield dispatches to a target some seconds after it was marked as leaving."""
-    for mark in history.of(EventKind.TARGET_LEAVING):
-        late = [
+def leaving_target(history: _History) -> Iterator[Violation]:
+    """Yield dispatches to a target `LEAVING_BOUND_S` after it was marked as leaving."""
+    for mark in history.of_kind(EventKind.TARGET_LEAVING):
+        late_events = [
             event
             for event in (*history.dispatched, *history.served)
             if event.target == mark.target and event.at > mark.at + LEAVING_BOUND_S
         ]
-        if late:
-            detail = f"{mark.target} got new work after it was leaving"
-            yield Finding("leaving target", detail, (mark, *late))
+        if late_events:
+            detail = (
+                f"{mark.target} received new requests after it was marked as leaving"
+            )
+            yield Violation("leaving target", detail, (mark, *late_events))
 
 
-def graceful_shutdown(history: _History) -> Iterator[Finding]:
-    """Yield requests that had no end when their instance said it was done."""
-    for done in history.of(EventKind.SHUTDOWN_DONE):
-        mine = [
+def graceful_shutdown(history: _History) -> Iterator[Violation]:
+    """Yield requests without a terminal event when their instance had shut down."""
+    for done in history.of_kind(EventKind.SHUTDOWN_DONE):
+        received_events = [
             event
-            for event in history.of(EventKind.RECEIVED)
+            for event in history.of_kind(EventKind.RECEIVED)
             if event.incarnation == done.incarnation
         ]
-        for received in mine:
+        for received in received_events:
             events = history.by_request[received.request]
             if not any(e.kind in ENDS and e.at <= done.at for e in events):
-                detail = f"{received.request} was cut off by the shutdown"
-                yield Finding("graceful shutdown", detail, (received, done))
+                detail = f"{received.request} had not ended at the end of the shutdown"
+                yield Violation("graceful shutdown", detail, (received, done))
 
 
-def configuration(history: _History) -> Iterator[Finding]:
-    """Yield versions that went down, or took too long to be in force."""
+def configuration(history: _History) -> Iterator[Violation]:
+    """Yield versions that decreased, or were not in force within the bound."""
     last: dict[str, Event] = {}
-    for event in history.of(EventKind.CONFIGURATION_IN_FORCE):
-        before = last.get(event.instance)
-        if before and event.version < before.version:
-            detail = f"{event.instance} went back to version {event.version}"
-            yield Finding("configuration", detail, (before, event))
+    for event in history.of_kind(EventKind.CONFIGURATION_IN_FORCE):
+        previous = last.get(event.instance)
+        if previous and event.version < previous.version:
+            detail = f"{event.instance} reverted to version {event.version}"
+            yield Violation("configuration", detail, (previous, event))
         last[event.instance] = event
-    for accepted in history.of(EventKind.CONFIGURATION_ACCEPTED):
-        yield from _late(history, accepted)
+    for accepted in history.of_kind(EventKind.CONFIGURATION_ACCEPTED):
+        yield from _late_versions(history, accepted)
 
 
-def _late(history: _History, accepted: Event) -> Iterator[Finding]:
+def _late_versions(history: _History, accepted: Event) -> Iterator[Violation]:
     bound = accepted.at + IN_FORCE_BOUND_S
-    taken = defaultdict(list)
-    for event in history.of(EventKind.CONFIGURATION_IN_FORCE):
-        taken[event.incarnation].append(event)
-    seen = {e.incarnation: e.at for e in history.events if e.incarnation in taken}
-    for incarnation, events in taken.items():
-        begun = events[0].at
+    applied = defaultdict(list)
+    for event in history.of_kind(EventKind.CONFIGURATION_IN_FORCE):
+        applied[event.incarnation].append(event)
+    seen = {e.incarnation: e.at for e in history.events if e.incarnation in applied}
+    for incarnation, events in applied.items():
+        started_at = events[0].at
         on_time = any(e.version >= accepted.version and e.at <= bound for e in events)
-        if begun < accepted.at and seen[incarnation] > bound and not on_time:
-            detail = f"{events[0].instance} had not taken version {accepted.version}"
-            yield Finding("configuration", detail, (accepted, events[-1]))
+        if started_at < accepted.at and seen[incarnation] > bound and not on_time:
+            detail = (
+                f"{events[0].instance} did not apply version {accepted.version} in time"
+            )
+            yield Violation("configuration", detail, (accepted, events[-1]))
 
 
 PREDICATES = (
--- a/hibiscusstep/events.py
+++ b/hibiscusstep/events.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.events: the recorded history from which the promises are checked."""
+"""hibiscusstep.events: the recorded history that `hibiscusstep.checker` verifies."""
 
 import enum
 import time
@@ -14,7 +14,7 @@
 
 
 class EventKind(enum.StrEnum):
-    """What may happen to a request, a target, an instance or the configuration."""
+    """Kinds of events of a request, a target, an instance or the configuration."""
 
     RECEIVED = "received"
     QUEUED = "queued"
@@ -39,22 +39,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One step of the history.
+    """One event of the history.
 
     Parameters
     ----------
     kind : EventKind
         What happened.
     at : float
-        Monotonic time of the machine, in seconds (one machine a history).
+        Monotonic time in seconds; a history is recorded on a single machine.
     instance, incarnation : str
-        Who recorded it.
+        The instance that recorded the event.
     request, attempt, key, customer, pool, tier, target : str
-        What it was about; ``""`` where it does not apply.
+        Subjects of the event; ``""`` where not applicable.
     rank : int
         Rank of the tier, 0 the highest.
     stoppable, idempotent : bool
-        Whether the running request could have been stopped; may run twice.
+        Whether the running request may be stopped, and whether it may run twice.
     version : int
         Version of the configuration.
     detail : str
@@ -80,10 +80,10 @@
 
 
 class NullRecorder:
-    """Records nothing; what runs where the setting is off."""
+    """Discards all events; used if recording is disabled."""
 
     def record(self, kind: EventKind, **fields) -> None:
-        """Drop the event."""
+        """Discard the event."""
 
     def close(self) -> None:
         """Do nothing."""
@@ -95,22 +95,22 @@
     Parameters
     ----------
     path : pathlib.Path
-        The file, made anew or appended to.
+        The file; created, or appended to if it exists.
     instance, incarnation : str
-        Who records.
+        The recording instance.
     """
 
     def __init__(self, path: Path, instance: str, incarnation: str) -> None:
         self._stream = path.open("ab", buffering=0)
         self._instance = instance
         self._incarnation = incarnation
-        self._left = MAX_EVENTS
+        self._remaining = MAX_EVENTS
 
     def record(self, kind: EventKind, **fields) -> None:
-        """Write one event, unbuffered so that a kill loses none."""
-        if self._left <= 0:
+        """Write one event, unbuffered so that none is lost if the process is killed."""
+        if self._remaining <= 0:
             return
-        self._left -= 1
+        self._remaining -= 1
         event = Event(
             kind, instance=self._instance, incarnation=self._incarnation, **fields
         )
@@ -118,15 +118,15 @@
         self._stream.write(orjson.dumps(line) + b"\n")
 
     def close(self) -> None:
-        """Close the file; later events are dropped."""
-        self._left = 0
+        """Close the file; later events are discarded."""
+        self._remaining = 0
         self._stream.close()
 
 
 def read_history(folder: Path) -> list[Event]:
-    """Return the events of all files ``*.events`` of a folder in order of time.
+    """Return the events of all ``*.events`` files of a folder in order of time.
 
-    A last line that a kill cut short is passed over.
+    A truncated last line of a killed process is skipped.
     """
     lines = (line for path in sorted(folder.glob("*.events")) for line in _lines(path))
     events = [Event(**{**line, "kind": EventKind(line["kind"])}) for line in lines]
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker finds each breaking history, and nothing in a good one."""
+"""Tests of hibiscusstep.checker: it finds each violation and no false ones."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 def history(*rows):
-    """Make events of (time, kind, fields)."""
+    """Return events from rows of (time, kind, fields)."""
     return [
         Event(kind, at=float(at), **{"pool": "p", "instance": "i", **fields})
         for at, kind, fields in rows
@@ -23,11 +23,11 @@
 KEYED = {"key": "k"}
 HIGH = {"tier": "high", "rank": 0}
 LOW = {"tier": "low", "rank": 1}
-GOOD = request(
+VALID = request(
     "a", (0, K.RECEIVED), (0, K.QUEUED), (1, K.DISPATCHED), (2, K.COMPLETED), **KEYED
 )
 
-BREAKING = {
+VIOLATING = {
     "at most once": [
         *request("a", (1, K.DISPATCHED), attempt="a.1", **KEYED),
         *request("b", (2, K.DISPATCHED), attempt="b.1", **KEYED),
@@ -79,27 +79,27 @@
 
 
 class TestChecker:
-    @pytest.mark.parametrize("name", BREAKING)
-    def test_finds(self, name):
+    @pytest.mark.parametrize("name", VIOLATING)
+    def test_finds_violation(self, name):
         promises = {
-            finding.promise for finding in check_history(history(*BREAKING[name]))
+            violation.promise for violation in check_history(history(*VIOLATING[name]))
         }
         assert name.partition(",")[0] in promises
 
-    def test_finds_nothing_in_a_good_history(self):
-        assert check_history(history(*GOOD)) == []
+    def test_finds_nothing_in_a_valid_history(self):
+        assert check_history(history(*VALID)) == []
 
-    def test_a_dispatch_that_was_not_sent_does_not_count(self):
+    def test_ignores_a_dispatch_that_was_not_sent(self):
         rows = request(
             "a", (1, K.DISPATCHED), (2, K.NOT_SENT), (3, K.REFUSED), attempt="a.1"
         )
         assert check_history(history(*rows)) == []
 
-    def test_a_killed_instance_is_excused(self):
+    def test_ignores_unended_requests_of_a_killed_instance(self):
         rows = request("a", (0, K.RECEIVED))
         assert check_history(history(*rows), killed=["i"]) == []
 
-    def test_lower_work_that_may_not_be_stopped_runs_on(self):
+    def test_allows_unstoppable_lower_tier_requests_to_run(self):
         rows = [
             *request("low", (0, K.QUEUED), (0.1, K.DISPATCHED), (9, K.FAILED), **LOW),
             *request("high", (1, K.QUEUED), (3, K.REFUSED), detail="deadline", **HIGH),
