--- a/hibiscusstep/errors.py
+++ b/hibiscusstep/errors.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.errors: typed errors that carry the step and the peer."""
+"""hibiscusstep.errors: exception classes with the failed step and the peer."""
 
 __all__ = [
     "ConfigurationError",
@@ -14,16 +14,16 @@
 
 
 class HibiscusstepError(Exception):
-    """Base of all errors of the library.
+    """Base class of all errors of the package.
 
     Parameters
     ----------
     detail : str
-        What went wrong, in one line.
+        Description in one line.
     step : str
-        The step at which it arose, e.g. ``"claim"``.
+        The step that failed, e.g. ``"claim"``.
     peer : str
-        The other side at that step (instance, target, platform, file), or ``""``.
+        The other side of that step (instance, target, platform, file), or ``""``.
     """
 
     def __init__(self, detail: str, *, step: str = "", peer: str = "") -> None:
@@ -39,14 +39,14 @@
 
 
 class ConfigurationError(HibiscusstepError):
-    """A file of the configuration or the settings is not acceptable.
+    """A file of the configuration or the settings is invalid.
 
     Parameters
     ----------
     detail : str
-        What is wrong and how to mend it.
+        What is wrong and how to fix it.
     file, key : str
-        Where it stands.
+        Location of the error.
     """
 
     def __init__(self, detail: str, *, file: str = "", key: str = "") -> None:
@@ -60,14 +60,14 @@
 
 
 class UnknownName(HibiscusstepError):
-    """A registry holds no such name.
+    """A name is not in a registry.
 
     Parameters
     ----------
     kind, name : str
-        What was looked up.
+        Kind of class, and the name that was looked up.
     choices : iterable of str
-        The names that exist.
+        The existing names.
     """
 
     def __init__(self, kind: str, name: str, choices) -> None:
@@ -77,11 +77,11 @@
 
 
 class PlatformError(HibiscusstepError):
-    """A call on the platform did not do what was asked."""
+    """A call to the platform failed."""
 
 
 class PlatformNotFound(PlatformError):
-    """The object does not exist."""
+    """The object does not exist on the platform."""
 
 
 class PlatformConflict(PlatformError):
@@ -89,7 +89,7 @@
 
 
 class PlatformUnavailable(PlatformError):
-    """No answer from the platform: a write may or may not have taken effect."""
+    """The platform did not answer; a write may or may not have taken effect."""
 
 
 class PeerError(HibiscusstepError):
@@ -97,18 +97,18 @@
 
 
 class TargetError(HibiscusstepError):
-    """A target did not give a whole answer.
+    """A target did not give a complete answer.
 
     Parameters
     ----------
     detail : str
-        What happened.
+        Description in one line.
     sent : bool
-        Whether any byte of the request may have left for the target.
+        Whether any byte of the request may have been sent to the target.
     leaving : bool, default=False
-        The target said that it takes no new work.
+        Whether the target reported that it accepts no new requests.
     refused : bool, default=False
-        Nothing listens at its address.
+        Whether the target refused the connection.
     """
 
     def __init__(
--- a/hibiscusstep/explain.py
+++ b/hibiscusstep/explain.py
@@ -1,16 +1,16 @@
-"""hibiscusstep.explain: what an instance decided about its latest requests."""
+"""hibiscusstep.explain: steps of an instance's latest requests, kept in memory."""
 
 import time
 from collections import OrderedDict
 from dataclasses import dataclass
 
-__all__ = ["Explainer", "Note"]
+__all__ = ["Explainer", "Step"]
 
 MAX_REQUESTS = 5000
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class Step:
     """One step of a request.
 
     Parameters
@@ -18,11 +18,11 @@
     at : float
         Seconds since the epoch.
     what : str
-        What was decided.
+        Kind of step.
     customer : str
-        Whose request.
+        Customer of the request.
     fields : dict
-        Where and why.
+        Details, such as target and reason.
     """
 
     at: float
@@ -32,18 +32,18 @@
 
 
 class Explainer:
-    """Remembers the steps of the latest `MAX_REQUESTS` requests."""
+    """Holds the steps of the latest `MAX_REQUESTS` requests."""
 
     def __init__(self) -> None:
-        self._notes: OrderedDict[str, list[Note]] = OrderedDict()
+        self._steps: OrderedDict[str, list[Step]] = OrderedDict()
 
     def note(self, request: str, customer: str, what: str, **fields) -> None:
-        """Remember a step."""
-        notes = self._notes.setdefault(request, [])
-        notes.append(Note(round(time.time(), 3), str(what), customer, fields))
-        while len(self._notes) > MAX_REQUESTS:
-            self._notes.popitem(last=False)
-
-    def explain(self, request: str) -> list[Note]:
-        """Return the steps of a request, empty if it is not remembered."""
-        return list(self._notes.get(request, ()))
+        """Record a step of a request."""
+        steps = self._steps.setdefault(request, [])
+        steps.append(Step(round(time.time(), 3), str(what), customer, fields))
+        while len(self._steps) > MAX_REQUESTS:
+            self._steps.popitem(last=False)
+
+    def explain(self, request: str) -> list[Step]:
+        """Return the steps of a request; empty if none are held."""
+        return list(self._steps.get(request, ()))
--- a/hibiscusstep/log.py
+++ b/hibiscusstep/log.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.log: set-up of the standard logging, for people or as JSON lines."""
+"""hibiscusstep.log: sets up standard logging as text or as JSON lines."""
 
 import asyncio
 import logging
@@ -22,10 +22,10 @@
 
 
 class HumanFormatter(logging.Formatter):
-    """One line a record, the extra fields as ``name=value`` behind the message."""
+    """Formats a record as one line with extra fields as ``name=value`` at the end."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the record as text."""
+        """Format the record as text."""
         line = super().format(record)
         extra = " ".join(
             f"{name}={value}"
@@ -38,23 +38,24 @@
 def set_up_logging(
     style: str = "auto", level: str = "INFO", instance: str = "", stream=None
 ) -> logging.Handler:
-    """Send all records to standard error, or JSON lines to a stream that never blocks.
+    """Log to standard error, or as JSON lines to a stream without blocking.
 
     Parameters
     ----------
     style : {'auto', 'human', 'json'}
-        ``auto`` is human on a terminal, JSON elsewhere.
+        ``auto`` selects human if standard error is a terminal, else JSON.
     level : str
-        Name of the lowest level that is written.
+        Name of the minimum level.
     instance : str
         Name of the instance, a field of every JSON record.
     stream : file or None
-        Where JSON lines go, bounded and without blocking; None is standard error.
+        Destination of JSON lines, written by a `BoundedHandler`; None for standard
+        error.
 
     Returns
     -------
     logging.Handler
-        The handler.
+        The installed handler.
     """
     human = style == "human" or (style == "auto" and sys.stderr.isatty())
     if stream is None or human:
@@ -82,12 +83,12 @@
 
 
 def dropped_lines() -> int:
-    """Return how many log lines were dropped since the start."""
+    """Return the number of log lines dropped since the start."""
     return sum(handler.dropped for handler in _bounded_handlers())
 
 
 async def keep_flushing() -> None:
-    """Write waiting log lines until cancelled."""
+    """Flush pending log lines periodically until cancelled."""
     while True:
         await asyncio.sleep(FLUSH_INTERVAL_S)
         for handler in _bounded_handlers():
@@ -100,9 +101,9 @@
     Parameters
     ----------
     kind : str
-        What was decided, e.g. ``"grant"``, ``"refuse"``, ``"drain"``.
+        Kind of decision, e.g. ``"grant"``, ``"refuse"``, ``"drain"``.
     **fields : object
         Request, customer, tier, target, candidates, reason, wait in seconds; `routine`
-        marks what may be left out first when there is too much.
+        marks lines that are dropped first under load.
     """
     _DECISIONS.info(kind, extra=fields)
--- a/hibiscusstep/logstream.py
+++ b/hibiscusstep/logstream.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.logstream: a log handler that never blocks and is bounded."""
+"""hibiscusstep.logstream: a non-blocking log handler with a bounded buffer."""
 
 import errno
 import logging
@@ -8,33 +8,32 @@
 
 __all__ = ["BoundedHandler"]
 
-# Lines that wait for a reader that is slow; beyond this they are dropped and counted.
+# Bound on the lines buffered for a slow reader; further lines are dropped and counted.
 MAX_PENDING_BYTES = 256 << 10
-# Lines of requests that ended well are dropped first, from this share of the bound on,
-# and when there are more of them in a second than an engineer reads.
+# Routine lines, which report successful requests, are dropped first: above this share
+# of the bound, and above a rate that is more than an engineer can read.
 ROUTINE_SHARE = 0.25
 MAX_ROUTINE_PER_S = 200
-# Waiting lines are tried again this often.
 FLUSH_INTERVAL_S = 0.25
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines to a descriptor that it made non-blocking.
+    """Writes lines to a file descriptor, which it makes non-blocking.
 
-    What the descriptor does not take waits, up to a bound. Dropped lines are counted
-    and reported by a line of their own once there is room.
+    Lines that cannot be written are buffered up to a bound. Dropped lines are counted,
+    and reported by a separate line once the buffer is empty.
 
     Parameters
     ----------
     descriptor : int
-        Where to write.
+        File descriptor to write to.
     clock : callable returning float
-        Seconds.
+        Returns the time in seconds.
 
     Attributes
     ----------
     dropped : int
-        Lines dropped since the start.
+        Number of lines dropped since the start.
     """
 
     def __init__(self, descriptor: int, clock: Callable[[], float]) -> None:
@@ -43,26 +42,26 @@
         self._clock = clock
         self._pending: deque[bytes] = deque()
         self._pending_bytes = 0
-        self._second = 0
-        self._routine = 0
+        self._rate_second = 0
+        self._routine_count = 0
         self._unreported = 0
         self._closed = False
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue a line and write what the descriptor takes."""
-        if self._refuses(getattr(record, "routine", False)):
+        """Buffer a line and write as much as the descriptor accepts."""
+        if self._should_drop(getattr(record, "routine", False)):
             self.dropped += 1
             self._unreported += 1
             return
         if self._unreported and self._pending_bytes == 0:
             self._report_dropped()
-        self._queue(self.format(record))
+        self._buffer(self.format(record))
         self.flush()
 
     def flush(self) -> None:
-        """Write what the descriptor takes now."""
+        """Write as much as the descriptor accepts without blocking."""
         while self._pending and not self._closed:
             line = self._pending.popleft()
             try:
@@ -70,25 +69,25 @@
             except OSError as cause:
                 self._pending.appendleft(line)
                 if cause.errno not in (errno.EAGAIN, errno.EINTR):
-                    self._give_up()
+                    self._close_buffer()
                 return
             self._pending_bytes -= written
             if written < len(line):
                 self._pending.appendleft(line[written:])
 
-    def _refuses(self, routine: bool) -> bool:
+    def _should_drop(self, routine: bool) -> bool:
         bound = MAX_PENDING_BYTES * (ROUTINE_SHARE if routine else 1.0)
         if self._closed or self._pending_bytes > bound:
             return True
         if not routine:
             return False
         second = int(self._clock())
-        if second != self._second:
-            self._second, self._routine = second, 0
-        self._routine += 1
-        return self._routine > MAX_ROUTINE_PER_S
+        if second != self._rate_second:
+            self._rate_second, self._routine_count = second, 0
+        self._routine_count += 1
+        return self._routine_count > MAX_ROUTINE_PER_S
 
-    def _queue(self, text: str) -> None:
+    def _buffer(self, text: str) -> None:
         line = text.encode() + b"\n"
         self._pending.append(line)
         self._pending_bytes += len(line)
@@ -99,10 +98,10 @@
         )
         record.count = self._unreported
         self._unreported = 0
-        self._queue(self.format(record))
+        self._buffer(self.format(record))
 
-    def _give_up(self) -> None:
-        """Write nothing more: the reader is gone for good."""
+    def _close_buffer(self) -> None:
+        """Drop all lines from now on, because the reader has closed."""
         self._closed = True
         self._pending.clear()
         self._pending_bytes = 0
--- a/hibiscusstep/metrics.py
+++ b/hibiscusstep/metrics.py
@@ -1,11 +1,11 @@
-"""hibiscusstep.metrics: what an instance counts, for Prometheus."""
+"""hibiscusstep.metrics: Prometheus metrics of an instance."""
 
 from aioprometheus import Counter, Gauge, Histogram, Registry
 from aioprometheus.renderer import render
 
 __all__ = ["Metrics"]
 
-SECONDS = (0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 5.0, 15.0, 60.0)
+BUCKETS_S = (0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 5.0, 15.0, 60.0)
 
 
 class Metrics:
@@ -18,9 +18,9 @@
     first_byte : aioprometheus.Histogram
         Seconds from receipt to the first byte, by tier.
     open_requests, version, members, restarts : aioprometheus.Gauge
-        Requests held, configuration in force, live instances, restarted tasks.
+        Open requests, configuration version in force, live instances, task restarts.
     claim_writes, claims_written : aioprometheus.Gauge
-        Writes of claims so far, and claims in them.
+        Number of claim writes, and number of claims in them.
     """
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
         self.first_byte = Histogram(
             "hibiscusstep_first_byte_seconds",
             "Seconds from receipt to first byte.",
-            buckets=SECONDS,
+            buckets=BUCKETS_S,
             registry=registry,
         )
         self.open_requests = self._gauge("open_requests", "Requests held now.")
@@ -42,7 +42,7 @@
         self.claims_written = self._gauge("claims_written", "Claims written.")
 
     def render(self) -> tuple[bytes, dict]:
-        """Return the text form and its HTTP headers."""
+        """Return the Prometheus exposition text and its HTTP headers."""
         return render(self._registry, [])
 
     def _gauge(self, name: str, doc: str) -> Gauge:
--- a/hibiscusstep/story.py
+++ b/hibiscusstep/story.py
@@ -1,17 +1,18 @@
-"""hibiscusstep.story: one request's story, told from the instances' log lines."""
+"""hibiscusstep.story: builds a request's timeline from the instances' log lines."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 import orjson
 
-__all__ = ["Line", "read_lines", "tell_story"]
+__all__ = ["LogLine", "read_lines", "tell_story"]
 
-# Changes of belief this long before and after a request may have to do with it.
+# Seconds before and after a request in which state changes are included.
 BEFORE_S = 2.0
 AFTER_S = 0.5
-# Lines that tell what an instance believes, and the field that ties them to a request.
-_BELIEFS = {
+# Messages of state changes, and the field that relates them to a request; if it is
+# empty, all changes at the request's instances are related.
+_STATE_CHANGES = {
     "target-leaving": "target",
     "target-gone": "target",
     "target-seen": "target",
@@ -30,21 +31,21 @@
     "reload": "",
     "log lines dropped": "",
 }
-_HEADER = frozenset(
+_STANDARD_FIELDS = frozenset(
     ("asctime", "levelname", "name", "message", "instance", "request", "taskName")
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
-    """A log line.
+class LogLine:
+    """A parsed log line.
 
     Parameters
     ----------
     at : float
-        Seconds of its day.
+        Time of day in seconds.
     instance, message : str
-        Who wrote it, and what it says.
+        Instance that wrote the line, and its message.
     fields : dict
         All fields of the line.
     """
@@ -55,59 +56,65 @@
     fields: dict = field(repr=False)
 
     def text(self) -> str:
-        """Return the line for people."""
-        rest = " ".join(
+        """Return the line as readable text."""
+        details = " ".join(
             f"{name}={value}"
             for name, value in self.fields.items()
-            if name not in _HEADER and value != ""
+            if name not in _STANDARD_FIELDS and value != ""
         )
         clock = self.fields.get("asctime", "").rpartition(" ")[2]
-        return f"{clock} {self.instance} {self.message}: {rest}"
+        return f"{clock} {self.instance} {self.message}: {details}"
 
 
-def read_lines(texts: Iterable[str]) -> list[Line]:
-    """Return the log lines among `texts`; what stands before the JSON is skipped."""
-    return [line for text in texts if (line := _read(text))]
+def read_lines(texts: Iterable[str]) -> list[LogLine]:
+    """Parse the log lines among `texts`; text before the JSON object is skipped."""
+    return [line for text in texts if (line := _parse(text))]
 
 
-def tell_story(request: str, lines: list[Line]) -> list[Line]:
-    """Return what touched a request, and the beliefs around it, in order of time.
+def tell_story(request: str, lines: list[LogLine]) -> list[LogLine]:
+    """Return a request's lines and the related state changes in order of time.
 
     Parameters
     ----------
     request : str
-        Its id.
-    lines : list of Line
-        Of all instances, in any order.
+        Id of the request.
+    lines : list of LogLine
+        Log lines of all instances in any order.
     """
-    own = [line for line in lines if line.fields.get("request") == request]
-    if not own:
+    request_lines = [line for line in lines if line.fields.get("request") == request]
+    if not request_lines:
         return []
-    begin = min(line.at - line.fields.get("seconds", 0.0) for line in own) - BEFORE_S
-    end = max(line.at for line in own) + AFTER_S
-    instances = {line.instance for line in own}
-    ties = {
-        name: {line.fields[name] for line in own if name in line.fields}
+    window_start = (
+        min(line.at - line.fields.get("seconds", 0.0) for line in request_lines)
+        - BEFORE_S
+    )
+    window_end = max(line.at for line in request_lines) + AFTER_S
+    instances = {line.instance for line in request_lines}
+    related = {
+        name: {line.fields[name] for line in request_lines if name in line.fields}
         for name in ("target", "pool")
     }
-    around = [
+    state_changes = [
         line
         for line in lines
-        if begin <= line.at <= end and _concerns(line, instances, ties)
+        if window_start <= line.at <= window_end
+        and _is_related(line, instances, related)
     ]
-    return sorted([*own, *around], key=lambda line: line.at)
+    return sorted([*request_lines, *state_changes], key=lambda line: line.at)
 
 
-def _concerns(line: Line, instances: set[str], ties: dict[str, set[str]]) -> bool:
-    tie = _BELIEFS.get(line.message)
-    if tie is None:
+def _is_related(
+    line: LogLine, instances: set[str], related: dict[str, set[str]]
+) -> bool:
+    related_field = _STATE_CHANGES.get(line.message)
+    if related_field is None:
         return False
-    if tie:
-        return line.fields.get(tie) in ties[tie]
+    if related_field:
+        return line.fields.get(related_field) in related[related_field]
     return line.instance in instances
 
 
-def _read(text: str) -> Line | None:
+def _parse(text: str) -> LogLine | None:
     start = text.find("{")
     if start < 0:
         return None
@@ -116,6 +123,6 @@
         clock = fields["asctime"].rpartition(" ")[2]
         hours, minutes, seconds = clock.replace(",", ".").split(":")
         at = int(hours) * 3600 + int(minutes) * 60 + float(seconds)
-        return Line(at, fields.get("instance", ""), fields["message"], fields)
+        return LogLine(at, fields.get("instance", ""), fields["message"], fields)
     except (orjson.JSONDecodeError, KeyError, ValueError, AttributeError):
         return None
--- a/tests/test_logstream.py
+++ b/tests/test_logstream.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.logstream, hibiscusstep.story and the decisions' lines."""
+"""Tests of hibiscusstep.logstream, and of hibiscusstep.story with decision lines."""
 
 import logging
 import os
@@ -14,7 +14,7 @@
 
 
 class Pipe:
-    """A handler that writes into a pipe which is read only when asked."""
+    """A handler that writes to a pipe, which is read only by `read`."""
 
     def __init__(self):
         self.reader, self.writer = os.pipe()
@@ -54,27 +54,25 @@
 
 
 class TestBoundedHandler:
-    def test_lines_come_whole_and_in_order(self, pipe):
+    def test_writes_lines_complete_and_in_order(self, pipe):
         for n in range(50):
             pipe.log(f"line {n}")
         assert [x["message"] for x in pipe.read()] == [f"line {n}" for n in range(50)]
 
-    def test_a_reader_that_stops_holds_nothing_up(self, pipe, monkeypatch):
+    def test_does_not_block_on_a_stopped_reader(self, pipe, monkeypatch):
         monkeypatch.setattr(logstream, "MAX_PENDING_BYTES", 20_000)
         for n in range(5_000):
             pipe.log(f"line {n} " + "x" * 100)
         assert pipe.handler.dropped > 1_000
-        got = [x["message"].split()[1] for x in pipe.read()]
-        assert got == sorted(got, key=int)
+        numbers = [x["message"].split()[1] for x in pipe.read()]
+        assert numbers == sorted(numbers, key=int)
         pipe.log("after")
         last = pipe.read()
         assert last[-2]["message"] == "log lines dropped"
         assert last[-2]["count"] == pipe.handler.dropped
         assert last[-1]["message"] == "after"
 
-    def test_lines_of_requests_that_ended_well_are_dropped_first(
-        self, pipe, monkeypatch
-    ):
+    def test_drops_routine_lines_first(self, pipe, monkeypatch):
         monkeypatch.setattr(logstream, "MAX_PENDING_BYTES", 200_000)
         for _n in range(3_000):
             pipe.log("good " + "x" * 100, routine=True)
@@ -85,7 +83,7 @@
         assert pipe.handler.dropped == dropped
         assert pipe.read()[-1]["message"] == "bad"
 
-    def test_no_more_routine_lines_than_a_second_allows(self, pipe, monkeypatch):
+    def test_limits_routine_lines_per_second(self, pipe, monkeypatch):
         monkeypatch.setattr(logstream, "MAX_ROUTINE_PER_S", 10)
         for _ in range(30):
             pipe.log("good", routine=True)
@@ -94,7 +92,7 @@
         pipe.log("good", routine=True)
         assert pipe.handler.dropped == 20
 
-    def test_a_reader_that_is_gone(self, pipe):
+    def test_drops_lines_after_the_reader_closed(self, pipe):
         os.close(pipe.reader)
         pipe.reader = os.open(os.devnull, os.O_RDONLY)
         for _ in range(3):
@@ -103,8 +101,8 @@
 
 
 def _line(second, instance, message, **fields):
-    stamp = f"2026-01-01 10:00:{second:06.3f}".replace(".", ",")
-    line = {"asctime": stamp, "message": message, "instance": instance, **fields}
+    timestamp = f"2026-01-01 10:00:{second:06.3f}".replace(".", ",")
+    line = {"asctime": timestamp, "message": message, "instance": instance, **fields}
     return "12.5 n " + orjson.dumps(line).decode()
 
 
@@ -125,13 +123,13 @@
         ]
     )
 
-    def test_the_story_is_told_in_order_over_several_instances(self):
+    def test_shows_steps_of_several_instances_in_order(self):
         result = CliRunner().invoke(
             main, ["explain", "r1", "--log", "-"], input=self.LINES
         )
         assert result.exit_code == 0, result.output
-        told = [line.split()[1:3] for line in result.output.splitlines()]
-        assert told == [
+        steps = [line.split()[1:3] for line in result.output.splitlines()]
+        assert steps == [
             ["d", "grant:"],
             ["a", "attempt:"],
             ["a", "given-up:"],
@@ -139,14 +137,14 @@
             ["a", "store-lost:"],
         ]
 
-    def test_a_request_without_a_line(self):
+    def test_fails_for_a_request_without_log_lines(self):
         result = CliRunner().invoke(
             main, ["explain", "r9", "--log", "-"], input=self.LINES
         )
         assert result.exit_code == 1
         assert "no line" in result.output
 
-    def test_without_log_or_entry(self, monkeypatch):
+    def test_fails_without_log_or_entry(self, monkeypatch):
         monkeypatch.delenv("HIBISCUSSTEP_ENTRY", raising=False)
         result = CliRunner().invoke(main, ["explain", "r9"])
         assert result.exit_code == 2
