--- a/hibiscusstep/clock.py
+++ b/hibiscusstep/clock.py
@@ -1,7 +1,8 @@
-"""hibiscusstep.clock: a clock that goes on while the machine is suspended.
+"""hibiscusstep.clock: a clock that includes the time in which the machine is suspended.
 
-The loop's clock stands still then, and the others' go on. What must agree with them
-uses this one: here that something is still fresh is never believed for too long.
+The event loop's clock stops during a suspension while the clocks of other machines
+continue. Expiry times that must agree with other machines use this clock, so that
+nothing is considered fresh for too long.
 """
 
 import asyncio
@@ -9,27 +10,27 @@
 
 __all__ = ["SuspensionWatch", "elapsed"]
 
-# Two clocks that are read one after the other differ by less, also on a busy machine
-# where the process is interrupted between the readings.
-_NOTICED_S = 0.25
+# Above the error from reading two clocks in turn, also on a busy machine where the
+# process is interrupted between the readings.
+_MIN_SUSPENSION_S = 0.25
 
 
 def elapsed() -> float:
-    """Return seconds since some moment, those of suspensions too."""
+    """Return the seconds since boot, including suspensions."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class SuspensionWatch:
-    """Notices that the machine was suspended, by the clock that went on meanwhile."""
+    """Detects suspensions by comparing the boot-time clock with the loop's clock."""
 
     def __init__(self) -> None:
-        self._ahead = elapsed() - _steady()
+        self._offset = elapsed() - _steady()
 
     def check(self) -> float:
-        """Return the seconds for which it was since the last look; 0 if it was not."""
-        ahead = elapsed() - _steady()
-        gap, self._ahead = ahead - self._ahead, ahead
-        return gap if gap > _NOTICED_S else 0.0
+        """Return the seconds of suspension since the last check; 0 if none."""
+        offset = elapsed() - _steady()
+        gap, self._offset = offset - self._offset, offset
+        return gap if gap > _MIN_SUSPENSION_S else 0.0
 
 
 def _steady() -> float:
--- a/hibiscusstep/listening.py
+++ b/hibiscusstep/listening.py
@@ -1,19 +1,19 @@
-"""hibiscusstep.listening: a socket that callers can connect to."""
+"""hibiscusstep.listening: creates listening sockets."""
 
 import socket
 
 __all__ = ["BACKLOG", "listen"]
 
-# Connections waiting to be accepted.
+# Maximum number of connections waiting to be accepted.
 BACKLOG = 1024
 
 
 def listen(address: str) -> socket.socket:
-    """Return a socket that listens, before anything accepts its connections.
+    """Return a listening socket, whose connections may be accepted later.
 
-    Most of a start is the import of libraries, 0.3 to 0.5 s. Callers that connect
-    meanwhile wait for the rest of it; refused, they would have spent one of their few
-    attempts.
+    Most of the start-up time is the import of libraries, 0.3 to 0.5 s. Callers that
+    connect meanwhile wait until start-up ends; a refused connection would use up one of
+    their few attempts.
 
     Parameters
     ----------
--- a/hibiscusstep/registry.py
+++ b/hibiscusstep/registry.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.registry: names and aliases of classes, looked up by name."""
+"""hibiscusstep.registry: lookup of classes by name or alias."""
 
 from hibiscusstep.errors import UnknownName
 
@@ -6,12 +6,12 @@
 
 
 class Registry:
-    """A table of classes by name and alias.
+    """Maps names and aliases to classes.
 
     Parameters
     ----------
     kind : str
-        What the classes are, for the error message.
+        Kind of the classes, for the error message.
     classes : sequence of type
         Each has a ``name`` (str) and may have ``aliases`` (tuple of str).
     """
@@ -31,7 +31,7 @@
 
     @property
     def primary_names(self) -> list[str]:
-        """The names without aliases, sorted."""
+        """All names without aliases, sorted."""
         return sorted({cls.name for cls in self._by_name.values()})
 
     def get(self, name: str) -> type:
@@ -40,7 +40,7 @@
         Raises
         ------
         UnknownName
-            If no class has it; the error lists the choices.
+            If no class has this name; the error lists the choices.
         """
         try:
             return self._by_name[name]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared by all tests: hypothesis seeds, processes of a deployment, known failures."""
+"""Shared test set-up: import path, hypothesis profile, known failures."""
 
 import sys
 from pathlib import Path
@@ -13,9 +13,11 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Let the tests of KNOWN-RED.txt fail; they are run, and named in the summary."""
+    """Mark the tests of KNOWN-RED.txt as xfail, so that they run and are reported."""
     lines = (ROOT / "KNOWN-RED.txt").read_text().splitlines()
-    known = dict(line.split(": ", 1) for line in lines if line.strip())
+    known_failures = dict(line.split(": ", 1) for line in lines if line.strip())
     for item in items:
-        if item.nodeid in known:
-            item.add_marker(pytest.mark.xfail(reason=known[item.nodeid], strict=False))
+        if item.nodeid in known_failures:
+            item.add_marker(
+                pytest.mark.xfail(reason=known_failures[item.nodeid], strict=False)
+            )
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,16 +1,16 @@
-"""hibiscusstep.clock: suspensions are noticed."""
+"""Tests of hibiscusstep.clock: detection of suspensions."""
 
 from hibiscusstep import clock
 from hibiscusstep.clock import SuspensionWatch, elapsed
 
 
 class TestElapsed:
-    def test_goes_on(self):
+    def test_does_not_decrease(self):
         assert elapsed() <= elapsed()
 
 
 class TestSuspensionWatch:
-    async def test_tells_each_suspension_once(self, monkeypatch):
+    async def test_reports_each_suspension_once(self, monkeypatch):
         now = {"elapsed": 100.0, "steady": 7.0}
         monkeypatch.setattr(clock, "elapsed", lambda: now["elapsed"])
         monkeypatch.setattr(clock, "_steady", lambda: now["steady"])
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""The blocks of ports of processes that run side by side."""
+"""Tests that concurrent processes reserve distinct port blocks."""
 
 import subprocess
 import sys
@@ -15,15 +15,15 @@
 
 
 class TestPortBlocks:
-    def test_processes_side_by_side_never_draw_the_same(self):
+    def test_concurrent_processes_reserve_distinct_ports(self):
         command = [sys.executable, "-c", PROGRAM, str(EXAMPLES)]
         pipes = {"stdin": subprocess.PIPE, "stdout": subprocess.PIPE, "text": True}
         processes = [subprocess.Popen(command, **pipes) for _ in range(6)]
         try:
-            drawn = [process.stdout.readline().split() for process in processes]
+            reserved = [process.stdout.readline().split() for process in processes]
         finally:
             for process in processes:
                 process.communicate()
-        ports = [port for line in drawn for port in line]
+        ports = [port for line in reserved for port in line]
         assert len(ports) == 2400
         assert len(set(ports)) == 2400
