--- a/hibiscusstep/checker.py
+++ b/hibiscusstep/checker.py
@@ -1,7 +1,7 @@
 """hibiscusstep.checker: finds violations of the guarantees in a recorded history.
 
-The guarantees are defined in docs/PROMISES.md; each function in `PREDICATES` checks
-one of them.
+The guarantees are defined in docs/PROMISES.md; each function in `CHECKS` checks one of
+them.
 """
 
 from collections import defaultdict
@@ -10,7 +10,7 @@
 
 from hibiscusstep.events import Event, EventKind
 
-__all__ = ["ENDS", "PREDICATES", "Violation", "check_history"]
+__all__ = ["CHECKS", "ENDS", "Violation", "check_history"]
 
 CLOCK_SLACK_S = 0.25
 LEAVING_BOUND_S = 3.0
@@ -71,11 +71,11 @@
         Instances that were killed; their requests may lack a terminal event.
     """
     history = _History(list(events), frozenset(killed))
-    return [finding for check in PREDICATES for finding in check(history)]
+    return [violation for check in CHECKS for violation in check(history)]
 
 
 class _History:
-    """A history with indexes that several predicates use."""
+    """A history with indexes that several checks use."""
 
     def __init__(self, events: list[Event], killed: frozenset[str]) -> None:
         self.events = events
@@ -115,6 +115,7 @@
 
 
 def _is_from_instance(event: Event) -> bool:
+    """Return whether an instance recorded the event; targets record `SERVED`."""
     return event.kind is not EventKind.SERVED
 
 
@@ -243,8 +244,8 @@
         if self.queued > early or self.ended < late:
             return False
         waits = self.dispatched > late
-        passed = since + CLOCK_SLACK_S < self.dispatched < early
-        return waits or (self.dispatched < early and (self.stoppable or passed))
+        overtook = since + CLOCK_SLACK_S < self.dispatched < early
+        return waits or (self.dispatched < early and (self.stoppable or overtook))
 
     def state(self, at: float) -> str:
         """Return a word for the state of the request at a time."""
@@ -258,8 +259,8 @@
             e for e in history.by_request[received.request] if _is_from_instance(e)
         ]
         ends = [event for event in events if event.kind in ENDS]
-        excused = received.instance in history.killed and not ends
-        if len(ends) != 1 and not excused:
+        lost_by_kill = received.instance in history.killed and not ends
+        if len(ends) != 1 and not lost_by_kill:
             detail = f"{received.request} has {len(ends)} terminal events"
             yield Violation("answered once", detail, tuple(events))
 
@@ -281,17 +282,17 @@
 
 def graceful_shutdown(history: _History) -> Iterator[Violation]:
     """Yield requests without a terminal event when their instance had shut down."""
-    for done in history.of_kind(EventKind.SHUTDOWN_DONE):
+    for shutdown in history.of_kind(EventKind.SHUTDOWN_DONE):
         received_events = [
             event
             for event in history.of_kind(EventKind.RECEIVED)
-            if event.incarnation == done.incarnation
+            if event.incarnation == shutdown.incarnation
         ]
         for received in received_events:
             events = history.by_request[received.request]
-            if not any(e.kind in ENDS and e.at <= done.at for e in events):
+            if not any(e.kind in ENDS and e.at <= shutdown.at for e in events):
                 detail = f"{received.request} had not ended at the end of the shutdown"
-                yield Violation("graceful shutdown", detail, (received, done))
+                yield Violation("graceful shutdown", detail, (received, shutdown))
 
 
 def configuration(history: _History) -> Iterator[Violation]:
@@ -312,18 +313,20 @@
     applied = defaultdict(list)
     for event in history.of_kind(EventKind.CONFIGURATION_IN_FORCE):
         applied[event.incarnation].append(event)
-    seen = {e.incarnation: e.at for e in history.events if e.incarnation in applied}
+    last_seen = {
+        e.incarnation: e.at for e in history.events if e.incarnation in applied
+    }
     for incarnation, events in applied.items():
         started_at = events[0].at
         on_time = any(e.version >= accepted.version and e.at <= bound for e in events)
-        if started_at < accepted.at and seen[incarnation] > bound and not on_time:
+        if started_at < accepted.at and last_seen[incarnation] > bound and not on_time:
             detail = (
                 f"{events[0].instance} did not apply version {accepted.version} in time"
             )
             yield Violation("configuration", detail, (accepted, events[-1]))
 
 
-PREDICATES = (
+CHECKS = (
     at_most_once,
     not_run,
     unknown,
--- a/hibiscusstep/errors.py
+++ b/hibiscusstep/errors.py
@@ -34,8 +34,8 @@
 
     def __str__(self) -> str:
         """Return the error in one line: step, peer, detail."""
-        place = " ".join(part for part in (self.step, self.peer) if part)
-        return f"{place}: {self.detail}" if place else self.detail
+        location = " ".join(part for part in (self.step, self.peer) if part)
+        return f"{location}: {self.detail}" if location else self.detail
 
 
 class ConfigurationError(HibiscusstepError):
--- a/hibiscusstep/events.py
+++ b/hibiscusstep/events.py
@@ -128,12 +128,14 @@
 
     A truncated last line of a killed process is skipped.
     """
-    lines = (line for path in sorted(folder.glob("*.events")) for line in _lines(path))
+    lines = (
+        line for path in sorted(folder.glob("*.events")) for line in _parse_lines(path)
+    )
     events = [Event(**{**line, "kind": EventKind(line["kind"])}) for line in lines]
     return sorted(events, key=lambda event: event.at)
 
 
-def _lines(path: Path) -> Iterator[dict]:
+def _parse_lines(path: Path) -> Iterator[dict]:
     for line in path.read_bytes().splitlines():
         try:
             yield orjson.loads(line)
--- a/hibiscusstep/log.py
+++ b/hibiscusstep/log.py
@@ -10,7 +10,7 @@
 from hibiscusstep.logstream import FLUSH_INTERVAL_S, BoundedHandler
 
 __all__ = [
-    "HumanFormatter",
+    "TextFormatter",
     "decision",
     "dropped_lines",
     "keep_flushing",
@@ -18,10 +18,10 @@
 ]
 
 _STANDARD_FIELDS = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime"}
-_DECISIONS = logging.getLogger("hibiscusstep.decision")
+_DECISION_LOG = logging.getLogger("hibiscusstep.decision")
 
 
-class HumanFormatter(logging.Formatter):
+class TextFormatter(logging.Formatter):
     """Formats a record as one line with extra fields as ``name=value`` at the end."""
 
     def format(self, record: logging.LogRecord) -> str:
@@ -64,7 +64,7 @@
         handler = BoundedHandler(stream.fileno(), time.monotonic)
     if human:
         handler.setFormatter(
-            HumanFormatter("%(asctime)s %(levelname)-7s %(name)s: %(message)s")
+            TextFormatter("%(asctime)s %(levelname)-7s %(name)s: %(message)s")
         )
     else:
         handler.setFormatter(
@@ -106,4 +106,4 @@
         Request, customer, tier, target, candidates, reason, wait in seconds; `routine`
         marks lines that are dropped first under load.
     """
-    _DECISIONS.info(kind, extra=fields)
+    _DECISION_LOG.info(kind, extra=fields)
--- a/hibiscusstep/operations.py
+++ b/hibiscusstep/operations.py
@@ -10,7 +10,7 @@
 __all__ = ["OperatorClient"]
 
 POLL_INTERVAL_S = 0.2
-TIMEOUT_S = 5.0
+REQUEST_TIMEOUT_S = 5.0
 
 
 class OperatorClient:
@@ -85,7 +85,7 @@
     async def _get(self, address: str, path: str):
         if self._session is None:
             self._session = aiohttp.ClientSession(
-                timeout=aiohttp.ClientTimeout(total=TIMEOUT_S)
+                timeout=aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
             )
         try:
             async with self._session.get(
--- a/hibiscusstep/operators.py
+++ b/hibiscusstep/operators.py
@@ -98,9 +98,9 @@
             return web.json_response({"error": "status timed out"}, status=504)
 
     async def _explain(self, request: web.Request) -> web.Response:
-        notes = self._explainer.explain(request.match_info["request"])
-        if not notes:
+        steps = self._explainer.explain(request.match_info["request"])
+        if not steps:
             return web.json_response(
                 {"error": "no steps of this request on this instance"}, status=404
             )
-        return web.json_response([asdict(note) for note in notes])
+        return web.json_response([asdict(step) for step in steps])
--- a/hibiscusstep/story.py
+++ b/hibiscusstep/story.py
@@ -8,8 +8,8 @@
 __all__ = ["LogLine", "read_lines", "tell_story"]
 
 # Seconds before and after a request in which state changes are included.
-BEFORE_S = 2.0
-AFTER_S = 0.5
+WINDOW_BEFORE_S = 2.0
+WINDOW_AFTER_S = 0.5
 # Messages of state changes, and the field that relates them to a request; if it is
 # empty, all changes at the request's instances are related.
 _STATE_CHANGES = {
@@ -62,8 +62,8 @@
             for name, value in self.fields.items()
             if name not in _STANDARD_FIELDS and value != ""
         )
-        clock = self.fields.get("asctime", "").rpartition(" ")[2]
-        return f"{clock} {self.instance} {self.message}: {details}"
+        time_of_day = self.fields.get("asctime", "").rpartition(" ")[2]
+        return f"{time_of_day} {self.instance} {self.message}: {details}"
 
 
 def read_lines(texts: Iterable[str]) -> list[LogLine]:
@@ -86,9 +86,9 @@
         return []
     window_start = (
         min(line.at - line.fields.get("seconds", 0.0) for line in request_lines)
-        - BEFORE_S
+        - WINDOW_BEFORE_S
     )
-    window_end = max(line.at for line in request_lines) + AFTER_S
+    window_end = max(line.at for line in request_lines) + WINDOW_AFTER_S
     instances = {line.instance for line in request_lines}
     related = {
         name: {line.fields[name] for line in request_lines if name in line.fields}
@@ -120,8 +120,8 @@
         return None
     try:
         fields = orjson.loads(text[start:])
-        clock = fields["asctime"].rpartition(" ")[2]
-        hours, minutes, seconds = clock.replace(",", ".").split(":")
+        time_of_day = fields["asctime"].rpartition(" ")[2]
+        hours, minutes, seconds = time_of_day.replace(",", ".").split(":")
         at = int(hours) * 3600 + int(minutes) * 60 + float(seconds)
         return LogLine(at, fields.get("instance", ""), fields["message"], fields)
     except (orjson.JSONDecodeError, KeyError, ValueError, AttributeError):
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -7,7 +7,7 @@
 
 from hibiscusstep import codec, peer, schema
 
-_SOURCE = Path(schema.__file__).with_name("hibiscusstep.thrift")
+_THRIFT_FILE = Path(schema.__file__).with_name("hibiscusstep.thrift")
 
 
 def _class_names_only(spec):
@@ -49,7 +49,7 @@
 
 class TestSchema:
     _STRUCTS = thriftpy2.load(
-        str(_SOURCE), module_name="tested_thrift"
+        str(_THRIFT_FILE), module_name="tested_thrift"
     ).__thrift_meta__["structs"]
 
     def test_contains_all_structs(self):
--- a/tests/test_logstream.py
+++ b/tests/test_logstream.py
@@ -100,7 +100,7 @@
         assert pipe.handler.dropped == 2
 
 
-def _line(second, instance, message, **fields):
+def _log_line(second, instance, message, **fields):
     timestamp = f"2026-01-01 10:00:{second:06.3f}".replace(".", ",")
     line = {"asctime": timestamp, "message": message, "instance": instance, **fields}
     return "12.5 n " + orjson.dumps(line).decode()
@@ -109,17 +109,17 @@
 class TestExplain:
     LINES = "\n".join(
         [
-            _line(
+            _log_line(
                 9.0, "a", "attempt", request="r1", target="t1", pool="p", seconds=1.0
             ),
-            _line(9.5, "b", "target-leaving", target="t1", revision=7),
-            _line(9.6, "b", "target-leaving", target="t2", revision=8),
-            _line(9.7, "a", "store-lost", feed="servers"),
-            _line(9.7, "c", "store-lost", feed="servers"),
-            _line(8.5, "d", "grant", request="r1", target="t1", pool="p"),
-            _line(50.0, "b", "target-gone", target="t1"),
+            _log_line(9.5, "b", "target-leaving", target="t1", revision=7),
+            _log_line(9.6, "b", "target-leaving", target="t2", revision=8),
+            _log_line(9.7, "a", "store-lost", feed="servers"),
+            _log_line(9.7, "c", "store-lost", feed="servers"),
+            _log_line(8.5, "d", "grant", request="r1", target="t1", pool="p"),
+            _log_line(50.0, "b", "target-gone", target="t1"),
             "no line of ours {",
-            _line(9.2, "a", "given-up", request="r1", status=502, why="cut"),
+            _log_line(9.2, "a", "given-up", request="r1", status=502, why="cut"),
         ]
     )
 
--- a/tests/test_peerlink.py
+++ b/tests/test_peerlink.py
@@ -10,7 +10,7 @@
 from hibiscusstep.peer import PoolQueued, Received
 from hibiscusstep.peerlink import PeerLinks, Send
 
-BOUND_S = 20
+TIMEOUT_S = 20
 KEY = "a-key-for-tests-only"
 
 
@@ -40,7 +40,7 @@
 
     async def send_until(self, name):
         """Send a message periodically, like heartbeats, until it arrives."""
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while name not in self.received_pools:
                 self.sender.tell(Send(self.proxy.address, PoolQueued(name)))
                 await asyncio.sleep(0.05)
@@ -71,7 +71,7 @@
         async with _LinkPair() as pair:
             await pair.send_until("before")
             link = pair.sender._links[pair.proxy.address]
-            async with asyncio.timeout(BOUND_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 while link._unacknowledged_since is not None:
                     await asyncio.sleep(0.01)
             await asyncio.sleep(0.6)
@@ -96,7 +96,7 @@
             for _ in range(3):
                 pair.sender.tell(Send(pair.proxy.address, shared))
             pair.sender.tell(Send(pair.proxy.address, PoolQueued("other")))
-            async with asyncio.timeout(BOUND_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 while "other" not in pair.received_pools:
                     await asyncio.sleep(0.01)
             assert pair.received_pools[-4:] == ["news"] * 3 + ["other"]
