--- a/hibiscusstep/claims/__init__.py
+++ b/hibiscusstep/claims/__init__.py
@@ -1,1 +1,1 @@
-"""hibiscusstep.claims: keys of requests that must not repeat, kept on the platform."""
+"""hibiscusstep.claims: idempotency keys, stored durably on the platform."""
--- a/hibiscusstep/claims/claimer.py
+++ b/hibiscusstep/claims/claimer.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.claims.claimer: asks the writers of claims on behalf of requests."""
+"""hibiscusstep.claims.claimer: sends the claims of requests to the shard writers."""
 
 import asyncio
 import itertools
@@ -23,18 +23,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRequest:
-    """A key is to be claimed for an attempt, or with `lookup` just looked up.
+    """A request to claim a key for an attempt, or to look the key up.
 
     Parameters
     ----------
     digest, body_digest : bytes
-        Of the key, of the request.
+        Digests of the key and of the request.
     attempt : str
-        Who would dispatch.
+        Attempt that will be dispatched if the claim is confirmed.
     supersedes : str
-        Attempt that its holder says is dead.
+        Earlier attempt that its holder reports as dead.
     lookup : bool
-        Whether nothing is to be written.
+        Whether to look the key up without writing a claim.
     """
 
     digest: bytes
@@ -46,28 +46,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseRequest:
-    """An attempt that may hold a key will never be dispatched."""
+    """A request to release a key whose attempt will never be dispatched."""
 
     digest: bytes
     attempt: str
 
 
 @dataclass(slots=True, eq=False)
-class _Asked:
-    """A claim that waits for its writer.
+class _PendingClaim:
+    """A claim that waits for the reply of its shard's writer.
 
     Parameters
     ----------
     question : Question
-        Who waits for the verdict.
+        The claim request to answer.
     shard : int
-        Of the key.
+        Shard of the key.
     ask : ClaimAsk
-        What was sent.
+        Message sent to the writer.
     deadline : float
-        When it is given up, in seconds on the loop's clock.
+        When the claim times out, in seconds on the loop's clock.
     writer : Member or None
-        To whom it was sent; None once that may have been lost.
+        Instance that the message was sent to; None if the message may be lost.
     """
 
     question: Question
@@ -78,20 +78,21 @@
 
 
 class Claimer(Worker):
-    """Turns claims of this instance into messages to the shard's writer and back.
+    """Client of the claim writers for the requests of this instance.
 
-    A claim whose writer is lost is asked of the next one: a writer confirms an attempt
-    that holds its key already. One that is not confirmed in time is answered
-    *unavailable* and released: whoever asked must take its attempt for dead.
+    If the writer is lost, the claim is resent to the next one. This is safe, since a
+    writer confirms an attempt that already holds its key. A claim that is not confirmed
+    in time is answered *unavailable* and released: the requester must treat its attempt
+    as dead.
 
     Parameters
     ----------
     name, incarnation, address : str
-        Own name, incarnation and peer address.
+        Name, incarnation and peer address of this instance.
     links : Worker
-        Sends to peers.
-    local : callable of Received
-        Takes what is meant for the writer of this instance.
+        Sends messages to peers.
+    deliver_locally : callable of Received
+        Delivers messages to the claim writer of this instance.
     """
 
     def __init__(
@@ -100,42 +101,42 @@
         incarnation: str,
         address: str,
         links: Worker,
-        local: Callable[[Received], None],
+        deliver_locally: Callable[[Received], None],
     ) -> None:
         super().__init__("claimer", tick_interval=TICK_S)
         self._own_name = name
         self._incarnation = incarnation
         self._address = address
         self._links = links
-        self._local = local
+        self._deliver_locally = deliver_locally
         self._settings = Claims()
         self._view = View()
-        self._asked: dict[str, _Asked] = {}
-        self._numbers = itertools.count()
+        self._pending: dict[str, _PendingClaim] = {}
+        self._claim_numbers = itertools.count()
 
     async def handle(self, message) -> None:
-        """Take a claim, a reply, a view, a configuration or a tick."""
+        """Handle a claim, a reply, a view, a configuration or a tick."""
         match message:
             case Question(body=ClaimRequest()):
-                self._ask(message)
+                self._send_claim(message)
             case ReleaseRequest(digest=digest, attempt=attempt):
                 self._release(digest, attempt)
             case Received(message=ClaimReply() as reply):
-                self._reply(reply)
+                self._handle_reply(reply)
             case ViewChanged(view=view):
                 self._view = view
-                self._ask_again()
+                self._resend_claims()
             case LinkLost(address=address):
-                self._lose(address)
+                self._mark_lost(address)
             case InForce(configuration=configuration):
                 self._settings = configuration.claims
             case Tick():
                 self._expire()
-                self._ask_again()
+                self._resend_claims()
 
-    def _ask(self, question: Question) -> None:
+    def _send_claim(self, question: Question) -> None:
         request = question.body
-        number = f"{self._incarnation}.{next(self._numbers)}"
+        number = f"{self._incarnation}.{next(self._claim_numbers)}"
         shard = shard_of(request.digest, self._settings.shards)
         ask = ClaimAsk(
             number,
@@ -148,68 +149,68 @@
             request.supersedes,
             request.lookup,
         )
-        writer = self._send(shard, ask)
+        writer = self._send_to_writer(shard, ask)
         if writer is None:
             question.reply(Verdict(ClaimResult.UNAVAILABLE))
             return
         timeout = self._settings.timeout + REPLY_GRACE_S
         deadline = asyncio.get_running_loop().time() + timeout
-        self._asked[number] = _Asked(question, shard, ask, deadline, writer)
-
-    def _ask_again(self) -> None:
-        """Ask what was asked of a writer that is lost or has no such duty now."""
-        for asked in self._asked.values():
-            writer = self._writer(asked.shard)
-            known = asked.writer.incarnation if asked.writer else ""
-            if writer and writer.incarnation != known:
-                asked.writer = self._send(asked.shard, asked.ask)
-
-    def _lose(self, address: str) -> None:
-        """Take note that what a peer was sent may be lost; it is asked again soon."""
-        for asked in self._asked.values():
-            if asked.writer and asked.writer.peer_address == address:
-                asked.writer = None
-
-    def _reply(self, reply: ClaimReply) -> None:
-        asked = self._asked.pop(reply.number, None)
-        if asked is None:
+        self._pending[number] = _PendingClaim(question, shard, ask, deadline, writer)
+
+    def _resend_claims(self) -> None:
+        """Resend the claims whose writer was lost or no longer writes the shard."""
+        for pending in self._pending.values():
+            writer = self._find_writer(pending.shard)
+            sent_to = pending.writer.incarnation if pending.writer else ""
+            if writer and writer.incarnation != sent_to:
+                pending.writer = self._send_to_writer(pending.shard, pending.ask)
+
+    def _mark_lost(self, address: str) -> None:
+        """Mark the claims sent to a peer as possibly lost, to resend them soon."""
+        for pending in self._pending.values():
+            if pending.writer and pending.writer.peer_address == address:
+                pending.writer = None
+
+    def _handle_reply(self, reply: ClaimReply) -> None:
+        pending = self._pending.pop(reply.number, None)
+        if pending is None:
             return
         record = ClaimRecord(
-            asked.question.body.digest,
+            pending.question.body.digest,
             reply.body_digest,
             reply.holder,
             reply.incarnation,
             reply.attempt,
             0,
         )
-        asked.question.reply(Verdict(ClaimResult(reply.result), record))
+        pending.question.reply(Verdict(ClaimResult(reply.result), record))
 
     def _expire(self) -> None:
         now = asyncio.get_running_loop().time()
-        for number, asked in list(self._asked.items()):
-            if asked.deadline <= now:
-                del self._asked[number]
-                asked.question.reply(Verdict(ClaimResult.UNAVAILABLE))
-                if not asked.question.body.lookup:
+        for number, pending in list(self._pending.items()):
+            if pending.deadline <= now:
+                del self._pending[number]
+                pending.question.reply(Verdict(ClaimResult.UNAVAILABLE))
+                if not pending.question.body.lookup:
                     self._release(
-                        asked.question.body.digest, asked.question.body.attempt
+                        pending.question.body.digest, pending.question.body.attempt
                     )
 
     def _release(self, digest: bytes, attempt: str) -> None:
         shard = shard_of(digest, self._settings.shards)
-        self._send(shard, ClaimRelease(shard, digest, attempt))
+        self._send_to_writer(shard, ClaimRelease(shard, digest, attempt))
 
-    def _writer(self, shard: int) -> Member | None:
-        """Return who writes a shard's claims; None where nobody is known."""
+    def _find_writer(self, shard: int) -> Member | None:
+        """Return the member that writes a shard's claims, or None if there is none."""
         return self._view.members.get(self._view.claim_writer(shard))
 
-    def _send(self, shard: int, message) -> Member | None:
-        """Send to the writer of a shard; return who that is."""
-        writer = self._writer(shard)
+    def _send_to_writer(self, shard: int, message) -> Member | None:
+        """Send a message to the writer of a shard and return that member."""
+        writer = self._find_writer(shard)
         if writer is None:
             return None
         if writer.name == self._own_name:
-            self._local(Received(self._address, message))
+            self._deliver_locally(Received(self._address, message))
         else:
             self._links.tell(Send(writer.peer_address, message))
         return writer
--- a/hibiscusstep/claims/index.py
+++ b/hibiscusstep/claims/index.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.claims.index: pure knowledge of one shard's claims."""
+"""hibiscusstep.claims.index: in-memory index of one shard's claims, without I/O."""
 
 import enum
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 
 class ClaimResult(enum.StrEnum):
-    """What became of a claim."""
+    """Result of a claim."""
 
     CONFIRMED = "confirmed"
     FREE = "free"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """The result, and the record that holds the key if it is held."""
+    """The result of a claim, and the record that holds the key if it is held."""
 
     result: ClaimResult
     record: ClaimRecord | None = None
@@ -31,87 +31,93 @@
     Parameters
     ----------
     retention : float
-        Seconds for which a record counts.
+        Seconds after which a record expires.
     """
 
     def __init__(self, retention: float) -> None:
         self._retention = retention
         self._by_digest: dict[bytes, ClaimRecord] = {}
-        self._loaded: set[str] = set()
+        self._loaded_segments: set[str] = set()
         self.version = 0
         self.head = ClaimHead()
 
     def __len__(self) -> int:
-        """Return how many keys are known."""
+        """Return the number of keys."""
         return len(self._by_digest)
 
-    def missing(self, head: ClaimHead) -> list[SealedSegment]:
-        """Return the sealed segments of a head that were not loaded."""
-        return [part for part in head.sealed if part.name not in self._loaded]
+    def missing_segments(self, head: ClaimHead) -> list[SealedSegment]:
+        """Return the sealed segments of a head that are not loaded yet."""
+        return [
+            segment
+            for segment in head.sealed
+            if segment.name not in self._loaded_segments
+        ]
 
     def load_segment(self, name: str, records: list[ClaimRecord]) -> None:
-        """Take the records of a sealed segment, older than those of the head."""
-        self._loaded.add(name)
+        """Add the records of a sealed segment, which are older than the head's."""
+        self._loaded_segments.add(name)
         for record in records:
             self._add(record)
 
-    def mark_loaded(self, name: str) -> None:
-        """Take note that a segment's records are known already."""
-        self._loaded.add(name)
+    def mark_segment_loaded(self, name: str) -> None:
+        """Mark a segment as loaded whose records are already in the index."""
+        self._loaded_segments.add(name)
 
     def take_head(self, head: ClaimHead, version: int) -> None:
-        """Take a version of the head, its segments being loaded."""
+        """Apply a version of the head whose segments are loaded."""
         self.head = head
         self.version = version
         for record in head.open:
             self._add(record)
 
-    def judge(self, record: ClaimRecord, supersedes: str) -> Verdict:
-        """Return whether a claim may be written.
+    def check_claim(self, record: ClaimRecord, supersedes: str) -> Verdict:
+        """Check whether a claim may be written.
 
         Parameters
         ----------
         record : ClaimRecord
             The claim.
         supersedes : str
-            Attempt that its holder says is dead, or ``""``.
+            Earlier attempt that its holder reports as dead, or ``""``.
         """
-        held = self._by_digest.get(record.digest)
-        if held is None or held.released or self._ended(held, record.at):
+        latest = self._by_digest.get(record.digest)
+        if latest is None or latest.released or self._is_expired(latest, record.at):
             return Verdict(ClaimResult.FREE)
-        if held.attempt == record.attempt:
-            return Verdict(ClaimResult.CONFIRMED, held)
-        if supersedes and held.attempt == supersedes:
+        if latest.attempt == record.attempt:
+            return Verdict(ClaimResult.CONFIRMED, latest)
+        if supersedes and latest.attempt == supersedes:
             return Verdict(ClaimResult.FREE)
-        return Verdict(ClaimResult.HELD, held)
+        return Verdict(ClaimResult.HELD, latest)
 
-    def holds(self, digest: bytes, attempt: str) -> bool:
-        """Whether an attempt holds a key and was not released."""
-        held = self._by_digest.get(digest)
-        return held is not None and held.attempt == attempt and not held.released
+    def is_held_by(self, digest: bytes, attempt: str) -> bool:
+        """Return whether an attempt holds a key and was not released."""
+        latest = self._by_digest.get(digest)
+        return latest is not None and latest.attempt == attempt and not latest.released
 
-    def record(self, digest: bytes) -> ClaimRecord | None:
+    def latest_record(self, digest: bytes) -> ClaimRecord | None:
         """Return the latest record of a key."""
         return self._by_digest.get(digest)
 
-    def forget_ended(self, now: int) -> list[SealedSegment]:
-        """Drop records past retention; return the segments that hold nothing else."""
-        ended = [
-            part for part in self.head.sealed if now - part.newest > self._retention
+    def drop_expired(self, now: int) -> list[SealedSegment]:
+        """Drop the expired records and return the segments that hold no others."""
+        expired = [
+            segment
+            for segment in self.head.sealed
+            if now - segment.newest > self._retention
         ]
-        if ended:
+        if expired:
             self._by_digest = {
                 digest: record
                 for digest, record in self._by_digest.items()
-                if not self._ended(record, now)
+                if not self._is_expired(record, now)
             }
-            self._loaded -= {part.name for part in ended}
-        return ended
+            self._loaded_segments -= {segment.name for segment in expired}
+        return expired
 
     def _add(self, record: ClaimRecord) -> None:
-        known = self._by_digest.get(record.digest)
-        if known is None or record.sequence >= known.sequence:
+        latest = self._by_digest.get(record.digest)
+        if latest is None or record.sequence >= latest.sequence:
             self._by_digest[record.digest] = record
 
-    def _ended(self, record: ClaimRecord, now: int) -> bool:
+    def _is_expired(self, record: ClaimRecord, now: int) -> bool:
         return now - record.at > self._retention
--- a/hibiscusstep/claims/records.py
+++ b/hibiscusstep/claims/records.py
@@ -1,8 +1,8 @@
-"""hibiscusstep.claims.records: the objects that hold the claims of a shard.
+"""hibiscusstep.claims.records: the stored objects that hold the claims of a shard.
 
-The head of a shard lists its sealed segments and carries the newest claims itself.
-Every claim is a conditional write of the head: what decides is the version, so a
-writer that was paused, or two writers at once, lose the write and read again.
+The head of a shard lists its sealed segments and holds the newest claims itself. Every
+claim is a conditional write of the head. A writer with an outdated version of the head,
+because it was paused or because another one writes too, fails and reads the head again.
 """
 
 from dataclasses import dataclass, field
@@ -25,15 +25,16 @@
     Parameters
     ----------
     digest, body_digest : bytes
-        Of customer, route and key; of what a repeat must bring again.
+        Digest of customer, route and key; digest of the parts of the request that a
+        repeat must match.
     holder, incarnation, attempt : str
-        Who may dispatch it, once.
+        Instance, incarnation and attempt that may dispatch the request once.
     at : int
-        When, in seconds since the epoch; only its retention hangs on it.
+        Time of the claim in seconds since the epoch, used only for its retention.
     released : bool
         Whether the attempt was never dispatched and never will be.
     sequence : int
-        Position in the shard's log; the highest of a key counts.
+        Position in the shard's log; the highest one of a key is valid.
     """
 
     digest: bytes
@@ -48,14 +49,14 @@
 
 @dataclass(slots=True)
 class ClaimSegment:
-    """A sealed part of a shard's log."""
+    """A sealed segment of a shard's log."""
 
     records: list[ClaimRecord] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class SealedSegment:
-    """Where a sealed part lies, how many records, and how new the newest is."""
+    """Name of a sealed segment, its number of records and the time of the newest."""
 
     name: str
     count: int
@@ -69,9 +70,9 @@
     Parameters
     ----------
     sealed, open : list
-        Older records in segments, the newest ones here.
+        The segments with the older records; the newest records.
     batch : str
-        Names the write that made this version.
+        Unique id of the write that made this version.
     next_sequence : int
         Position of the next record.
     """
@@ -88,10 +89,10 @@
 
 
 def head_key(shard: int) -> str:
-    """Return the platform's key of a shard's head."""
+    """Return the platform key of a shard's head."""
     return f"hibiscusstep/claims/{shard}/head"
 
 
 def segment_key(shard: int, name: str) -> str:
-    """Return the platform's key of a sealed segment."""
+    """Return the platform key of a sealed segment."""
     return f"hibiscusstep/claims/{shard}/segment-{name}"
--- a/hibiscusstep/claims/shard.py
+++ b/hibiscusstep/claims/shard.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.claims.shard: writes one shard's claims, many to a write."""
+"""hibiscusstep.claims.shard: writes the claims of one shard in batches."""
 
 import asyncio
 import logging
@@ -31,30 +31,30 @@
 
 _LOG = logging.getLogger(__name__)
 SEAL_AT = 64
-MERGE_COUNT = 8
+SEGMENTS_PER_MERGE = 8
 MAX_SEGMENT_RECORDS = 6000
 RETRY_PAUSE_S = 0.2
 OUTAGE_AFTER_S = 1.0
-FRESH_S = 1.0
-MAX_BATCH = 1000
+MAX_INDEX_AGE_S = 1.0
+MAX_BATCH_CLAIMS = 1000
 
 
 @dataclass(slots=True, eq=False)
 class Pending:
-    """A claim, a look-up or a release that waits for a write or a read.
+    """A claim or look-up that waits for a write or a read.
 
     Parameters
     ----------
     record : ClaimRecord
-        The claim; for a release, with `released` set.
+        The claim.
     supersedes : str
-        Attempt that its holder says is dead.
+        Earlier attempt that its holder reports as dead.
     lookup : bool
-        Whether it only asks.
+        Whether to look the key up without writing a claim.
     deadline : float
         When it is answered *unavailable*, in seconds on the loop's clock.
     reply : callable of Verdict
-        Called once.
+        Called once with the answer.
     """
 
     record: ClaimRecord
@@ -65,29 +65,29 @@
     answered: bool = False
 
     def answer(self, verdict: Verdict) -> None:
-        """Reply, the first time."""
+        """Reply unless this was answered before."""
         if not self.answered:
             self.answered = True
             self.reply(verdict)
 
 
 class ShardWriter:
-    """One shard's index and the loop that writes its claims.
+    """Index of one shard and the loop that writes its claims.
 
-    While a write is out, further claims gather for the next. A write whose answer
-    was lost is sent again with the same condition and batch name until it is known
-    to stand or to be void; only then is a claim of it confirmed or refused.
+    Claims that arrive during a write form the next batch. A write without an answer is
+    sent again with the same condition and batch id until it is known whether it took
+    effect; only then are its claims confirmed or refused.
 
     Parameters
     ----------
     shard : int
-        Its number.
+        Number of the shard.
     platform : Platform
-        Where the objects live.
+        Stores the objects.
     retention : float
-        Seconds for which a key is remembered.
+        Seconds after which a claim expires.
     interval : float
-        Seconds between two writes, at least.
+        Minimum seconds between two writes.
     """
 
     def __init__(
@@ -100,146 +100,155 @@
         self._interval = interval
         self._pending: list[Pending] = []
         self._releases: list[ClaimRecord] = []
-        self._wake = asyncio.Event()
-        self._loaded = False
+        self._work_queued = asyncio.Event()
+        self._head_loaded = False
         self._failing_since: float | None = None
         self._writing = False
-        self._read_at = float("-inf")
+        self._index_read_at = float("-inf")
         self.writes = 0
         self.claims_written = 0
 
     @property
-    def reachable(self) -> bool:
-        """Whether the platform answers; one lost answer does not make an outage."""
+    def platform_reachable(self) -> bool:
+        """Whether the platform answers; a single lost answer is not an outage."""
         if self._failing_since is None:
             return True
         now = asyncio.get_running_loop().time()
         return now - self._failing_since < OUTAGE_AFTER_S
 
     @property
-    def idle(self) -> bool:
-        """Whether nothing waits and nothing is being written."""
+    def is_idle(self) -> bool:
+        """Whether nothing is queued and nothing is being written."""
         return not (self._pending or self._releases or self._writing)
 
     def add(self, pending: Pending) -> None:
-        """Take a claim or a look-up; refuse it at once while a write gets no answer."""
-        if self._writing and not self.reachable:
+        """Queue a claim or a look-up, or refuse it while a write gets no answer."""
+        if self._writing and not self.platform_reachable:
             pending.answer(Verdict(ClaimResult.UNAVAILABLE))
             return
-        if pending.lookup and self._loaded and self.reachable:
-            verdict = self._index.judge(pending.record, pending.supersedes)
-            if verdict.result is not ClaimResult.HELD or not self._stale:
+        if pending.lookup and self._head_loaded and self.platform_reachable:
+            verdict = self._index.check_claim(pending.record, pending.supersedes)
+            if verdict.result is not ClaimResult.HELD or not self._index_is_stale:
                 pending.answer(verdict)
                 return
         self._pending.append(pending)
-        self._wake.set()
+        self._work_queued.set()
 
     def release(self, record: ClaimRecord) -> None:
-        """Take note that a claim's attempt is dead."""
+        """Queue the release of a claim whose attempt is dead."""
         self._releases.append(replace(record, released=True))
-        self._wake.set()
+        self._work_queued.set()
 
     def expire(self, now: float) -> None:
-        """Answer what waited too long; its attempt is dead for its holder."""
+        """Answer what is past its deadline; its holder treats the attempt as dead."""
         for pending in self._pending:
             if pending.deadline <= now:
                 pending.answer(Verdict(ClaimResult.UNAVAILABLE))
         self._pending = [p for p in self._pending if not p.answered]
 
     async def run(self) -> None:
-        """Write claims as they come."""
+        """Write queued claims and releases until cancelled."""
         while True:
-            await self._wake.wait()
-            self._wake.clear()
-            if not self._loaded and not await self._load():
+            await self._work_queued.wait()
+            self._work_queued.clear()
+            if not self._head_loaded and not await self._load_head():
                 await self._pause_and_retry()
                 continue
-            while self._loaded and (self._pending or self._releases):
+            while self._head_loaded and (self._pending or self._releases):
                 self._writing = True
-                begun, writes = asyncio.get_running_loop().time(), self.writes
+                started, writes = asyncio.get_running_loop().time(), self.writes
                 await self._write_batch()
                 self._writing = False
-                spent = asyncio.get_running_loop().time() - begun
+                elapsed = asyncio.get_running_loop().time() - started
                 if self.writes > writes:
-                    await asyncio.sleep(max(0.0, self._interval - spent))
+                    await asyncio.sleep(max(0.0, self._interval - elapsed))
 
     async def _pause_and_retry(self) -> None:
         await asyncio.sleep(RETRY_PAUSE_S)
         if self._pending or self._releases:
-            self._wake.set()
+            self._work_queued.set()
 
-    async def _load(self) -> bool:
-        """Read the head and the segments not known; say whether that worked."""
-        found = await self._call(self._platform.get(head_key(self._shard)))
+    async def _load_head(self) -> bool:
+        """Read the head and the missing segments; return whether that succeeded."""
+        found = await self._call_platform(self._platform.get(head_key(self._shard)))
         if found.is_err() and not isinstance(found.unwrap_err(), PlatformNotFound):
             return False
-        self._read_at = asyncio.get_running_loop().time()
+        self._index_read_at = asyncio.get_running_loop().time()
         if found.is_err():
-            self._loaded = True
+            self._head_loaded = True
             return True
         item = found.unwrap()
         head = codec.decode(ClaimHead, item.value)
-        for part in self._index.missing(head):
-            if not await self._load_segment(part.name):
+        for sealed_segment in self._index.missing_segments(head):
+            if not await self._load_segment(sealed_segment.name):
                 return False
         self._index.take_head(head, item.version)
-        self._loaded = True
+        self._head_loaded = True
         return True
 
-    async def _call(self, call: Awaitable) -> Result:
-        """Make a call on the platform; take note of since when none is answered."""
-        begun = asyncio.get_running_loop().time()
+    async def _call_platform(self, call: Awaitable) -> Result:
+        """Await a platform call and record since when calls get no answer."""
+        started = asyncio.get_running_loop().time()
         answer = await call
         if answer.is_ok() or not isinstance(answer.unwrap_err(), PlatformUnavailable):
             self._failing_since = None
         elif self._failing_since is None:
-            self._failing_since = begun
+            self._failing_since = started
         return answer
 
     async def _load_segment(self, name: str) -> bool:
-        found = await self._call(self._platform.get(segment_key(self._shard, name)))
+        found = await self._call_platform(
+            self._platform.get(segment_key(self._shard, name))
+        )
         if found.is_ok():
             segment = codec.decode(ClaimSegment, found.unwrap().value)
             self._index.load_segment(name, segment.records)
         return found.is_ok()
 
     @property
-    def _stale(self) -> bool:
-        """Whether another writer may have released a key since this one read."""
-        return asyncio.get_running_loop().time() - self._read_at > FRESH_S
+    def _index_is_stale(self) -> bool:
+        """Whether another writer may have released a key since the last read."""
+        return asyncio.get_running_loop().time() - self._index_read_at > MAX_INDEX_AGE_S
 
-    def _refresh_first(self) -> bool:
-        """Whether a key that seems held has to be read again before that is said."""
-        if not self._stale or not self.reachable:
+    def _needs_refresh(self) -> bool:
+        """Return whether the head must be read again before a key is reported held."""
+        if not self._index_is_stale or not self.platform_reachable:
             return False
         return any(
-            self._index.judge(p.record, p.supersedes).result is ClaimResult.HELD
-            for p in self._pending[:MAX_BATCH]
+            self._index.check_claim(p.record, p.supersedes).result is ClaimResult.HELD
+            for p in self._pending[:MAX_BATCH_CLAIMS]
         )
 
     async def _write_batch(self) -> None:
-        if self._refresh_first():
-            self._loaded = False
-            self._wake.set()
+        if self._needs_refresh():
+            self._head_loaded = False
+            self._work_queued.set()
             return
-        batch, self._pending = self._pending[:MAX_BATCH], self._pending[MAX_BATCH:]
+        batch, self._pending = (
+            self._pending[:MAX_BATCH_CLAIMS],
+            self._pending[MAX_BATCH_CLAIMS:],
+        )
         releases, self._releases = self._releases, []
-        claims = self._sort_out(batch)
-        dead = [r for r in releases if self._index.holds(r.digest, r.attempt)]
-        if not claims and not dead:
+        claims = self._select_writable(batch)
+        releases_to_write = [
+            r for r in releases if self._index.is_held_by(r.digest, r.attempt)
+        ]
+        if not claims and not releases_to_write:
             return
-        head = self._extended(dead + [pending.record for pending in claims])
-        written = await self._write(head, claims)
+        head = self._head_with(
+            releases_to_write + [pending.record for pending in claims]
+        )
+        written = await self._write_head(head, claims)
         if written.is_ok():
-            await self._confirm(head, written.unwrap(), claims)
+            await self._confirm_claims(head, written.unwrap(), claims)
         else:
             self._pending = claims + self._pending
-            self._releases = dead + self._releases
-            self._loaded = False
-            self._wake.set()
+            self._releases = releases_to_write + self._releases
+            self._head_loaded = False
+            self._work_queued.set()
 
-    def _extended(self, records: list[ClaimRecord]) -> ClaimHead:
-        """Return the head with further records at the end of the log."""
+    def _head_with(self, records: list[ClaimRecord]) -> ClaimHead:
+        """Return the head with records appended to the log."""
         head = self._index.head
         for sequence, record in enumerate(records, head.next_sequence):
             record.sequence = sequence
@@ -250,12 +259,12 @@
             head.next_sequence + len(records),
         )
 
-    def _sort_out(self, batch: list[Pending]) -> list[Pending]:
-        """Answer what needs no write; return one claim for each free key."""
+    def _select_writable(self, batch: list[Pending]) -> list[Pending]:
+        """Answer what needs no write and return one claim for each free key."""
         claims: dict[bytes, Pending] = {}
         later: list[Pending] = []
         for pending in batch:
-            verdict = self._index.judge(pending.record, pending.supersedes)
+            verdict = self._index.check_claim(pending.record, pending.supersedes)
             if verdict.result is not ClaimResult.FREE or pending.lookup:
                 pending.answer(verdict)
             elif pending.record.digest in claims:
@@ -265,20 +274,20 @@
         self._pending = later + self._pending
         return list(claims.values())
 
-    async def _write(
+    async def _write_head(
         self, head: ClaimHead, claims: list[Pending]
     ) -> Result[int, PlatformError]:
-        """Write the head until it is known to stand (Ok) or to be void (Err)."""
+        """Write the head until it is known to have succeeded (Ok) or failed (Err)."""
         value = codec.encode(head)
         expected = self._index.version
         while True:
             self.writes += 1
             put = self._platform.put(head_key(self._shard), value, expected)
-            written = await self._call(put)
+            written = await self._call_platform(put)
             if written.is_ok():
                 return written
             if isinstance(written.unwrap_err(), PlatformConflict):
-                return await self._read_back(head)
+                return await self._verify_write(head)
             await asyncio.sleep(RETRY_PAUSE_S)
             self._expire_claims(claims)
 
@@ -289,64 +298,72 @@
                 pending.answer(Verdict(ClaimResult.UNAVAILABLE))
         self.expire(now)
 
-    async def _read_back(self, head: ClaimHead) -> Result[int, PlatformError]:
-        """Return whether the version that stands is the one that was written."""
+    async def _verify_write(self, head: ClaimHead) -> Result[int, PlatformError]:
+        """Return whether the stored version is the one that was written."""
         while True:
-            found = await self._call(self._platform.get(head_key(self._shard)))
+            found = await self._call_platform(self._platform.get(head_key(self._shard)))
             if found.is_ok():
                 item = found.unwrap()
-                stands = codec.decode(ClaimHead, item.value).batch == head.batch
-                return Ok(item.version) if stands else Err(PlatformConflict("lost"))
+                is_ours = codec.decode(ClaimHead, item.value).batch == head.batch
+                return Ok(item.version) if is_ours else Err(PlatformConflict("lost"))
             await asyncio.sleep(RETRY_PAUSE_S)
 
-    async def _confirm(
+    async def _confirm_claims(
         self, head: ClaimHead, version: int, claims: list[Pending]
     ) -> None:
         self._index.take_head(head, version)
-        self._read_at = asyncio.get_running_loop().time()
+        self._index_read_at = asyncio.get_running_loop().time()
         self.claims_written += len(claims)
         for pending in claims:
             if pending.answered:
                 self._releases.append(replace(pending.record, released=True))
-                self._wake.set()
+                self._work_queued.set()
             pending.answer(Verdict(ClaimResult.CONFIRMED, pending.record))
         if len(head.open) >= SEAL_AT:
-            await self._seal()
+            await self._seal_head()
 
-    async def _seal(self) -> None:
-        """Move the head's records to a segment, merge small ones, drop ended ones."""
+    async def _seal_head(self) -> None:
+        """Move the head's records to a segment, merge small and delete old segments."""
         head = self._index.head
-        ended = self._index.forget_ended(int(time.time()))
-        kept = [part for part in head.sealed if part not in ended]
+        expired = self._index.drop_expired(int(time.time()))
+        kept = [
+            sealed_segment
+            for sealed_segment in head.sealed
+            if sealed_segment not in expired
+        ]
         records, merged = list(head.open), []
-        tail = kept[-(MERGE_COUNT - 1) :]
-        size = sum(part.count for part in tail) + len(records)
-        if len(tail) == MERGE_COUNT - 1 and size <= MAX_SEGMENT_RECORDS:
+        tail = kept[-(SEGMENTS_PER_MERGE - 1) :]
+        size = sum(sealed_segment.count for sealed_segment in tail) + len(records)
+        if len(tail) == SEGMENTS_PER_MERGE - 1 and size <= MAX_SEGMENT_RECORDS:
             older = await self._read_segments(tail)
             if older is not None:
                 records, merged, kept = older + records, tail, kept[: -len(tail)]
-        part = SealedSegment(
+        sealed_segment = SealedSegment(
             uuid.uuid4().hex, len(records), max(record.at for record in records)
         )
         value = codec.encode(ClaimSegment(records))
-        key = segment_key(self._shard, part.name)
+        key = segment_key(self._shard, sealed_segment.name)
         if (await self._platform.put(key, value, 0)).is_err():
             return
-        sealed = ClaimHead([*kept, part], [], uuid.uuid4().hex, head.next_sequence)
-        written = await self._write(sealed, [])
+        sealed_head = ClaimHead(
+            [*kept, sealed_segment], [], uuid.uuid4().hex, head.next_sequence
+        )
+        written = await self._write_head(sealed_head, [])
         if written.is_err():
-            self._loaded = False
+            self._head_loaded = False
             await self._platform.delete(key)
             return
-        self._index.mark_loaded(part.name)
-        self._index.take_head(sealed, written.unwrap())
-        for old in [*ended, *merged]:
+        self._index.mark_segment_loaded(sealed_segment.name)
+        self._index.take_head(sealed_head, written.unwrap())
+        for old in [*expired, *merged]:
             await self._platform.delete(segment_key(self._shard, old.name))
 
-    async def _read_segments(self, parts) -> list[ClaimRecord] | None:
+    async def _read_segments(self, sealed_segments) -> list[ClaimRecord] | None:
         records: list[ClaimRecord] = []
-        for part in parts:
-            found = await self._platform.get(segment_key(self._shard, part.name))
+        for sealed_segment in sealed_segments:
+            found = await self._platform.get(
+                segment_key(self._shard, sealed_segment.name)
+            )
             if found.is_err():
                 return None
             records += codec.decode(ClaimSegment, found.unwrap().value).records
--- a/hibiscusstep/claims/writer.py
+++ b/hibiscusstep/claims/writer.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.claims.writer: the shards of claims that fall to an instance."""
+"""hibiscusstep.claims.writer: the claim shards that an instance writes."""
 
 import asyncio
 import time
@@ -23,27 +23,27 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Shard:
+class _RunningShard:
     writer: ShardWriter
     task: asyncio.Task
 
 
 class ClaimWriter(Worker):
-    """Answers claims of all instances for the shards that it is asked about.
+    """Server of the claims of all instances, for the shards that it is asked about.
 
-    The view only says whom to ask; two writers of a shard at once are safe, see
-    `hibiscusstep.claims.records`.
+    The view only selects the instance to ask. Two concurrent writers of a shard are
+    safe, see `hibiscusstep.claims.records`.
 
     Parameters
     ----------
     name, address : str
-        Own name and peer address.
+        Name and peer address of this instance.
     platform : Platform
-        Where the claims live.
+        Stores the claims.
     links : Worker
-        Sends to peers.
-    local : callable of Received
-        Takes replies that are meant for this instance.
+        Sends messages to peers.
+    deliver_locally : callable of Received
+        Delivers replies to the claimer of this instance.
     """
 
     def __init__(
@@ -52,40 +52,40 @@
         address: str,
         platform: Platform,
         links: Worker,
-        local: Callable[[Received], None],
+        deliver_locally: Callable[[Received], None],
     ) -> None:
         super().__init__("claim-writer", tick_interval=TICK_S)
         self._own_name = name
         self._address = address
         self._platform = platform
         self._links = links
-        self._local = local
+        self._deliver_locally = deliver_locally
         self._settings = Claims()
         self._view = View()
-        self._shards: dict[int, _Shard] = {}
+        self._shards: dict[int, _RunningShard] = {}
 
     async def stop(self) -> None:
-        """End all shards."""
+        """Cancel the tasks of all shards."""
         for shard in self._shards.values():
             shard.task.cancel()
         self._shards = {}
 
     @property
     def totals(self) -> tuple[int, int]:
-        """Writes made, and claims written by them."""
+        """Number of writes, and number of claims written by them."""
         writers = [shard.writer for shard in self._shards.values()]
         return sum(w.writes for w in writers), sum(w.claims_written for w in writers)
 
     async def handle(self, message) -> None:
-        """Take a claim, a release, a view, a configuration or a tick."""
+        """Handle a claim, a release, a view, a configuration or a tick."""
         match message:
             case Received(sender=sender, message=ClaimAsk() as ask):
-                self._claim(sender, ask)
+                self._handle_claim(sender, ask)
             case Received(message=ClaimRelease() as release):
-                self._release(release)
+                self._handle_release(release)
             case ViewChanged(view=view):
                 self._view = view
-                self._drop_shards()
+                self._drop_reassigned_shards()
             case InForce(configuration=configuration):
                 self._settings = configuration.claims
             case Tick():
@@ -93,7 +93,7 @@
                 for shard in self._shards.values():
                     shard.writer.expire(now)
 
-    def _claim(self, sender: str, ask: ClaimAsk) -> None:
+    def _handle_claim(self, sender: str, ask: ClaimAsk) -> None:
         record = ClaimRecord(
             ask.digest,
             ask.body_digest,
@@ -107,17 +107,17 @@
             ask.supersedes,
             ask.lookup,
             asyncio.get_running_loop().time() + self._settings.timeout,
-            lambda verdict: self._reply(sender, ask.number, verdict),
+            lambda verdict: self._send_reply(sender, ask.number, verdict),
         )
-        self._shard(ask.shard).writer.add(pending)
+        self._get_or_start_shard(ask.shard).writer.add(pending)
 
-    def _release(self, release: ClaimRelease) -> None:
+    def _handle_release(self, release: ClaimRelease) -> None:
         record = ClaimRecord(
             release.digest, b"", "", "", release.attempt, int(time.time()), True
         )
-        self._shard(release.shard).writer.release(record)
+        self._get_or_start_shard(release.shard).writer.release(record)
 
-    def _reply(self, address: str, number: str, verdict: Verdict) -> None:
+    def _send_reply(self, address: str, number: str, verdict: Verdict) -> None:
         record = verdict.record or ClaimRecord(b"", b"", "", "", "", 0)
         reply = ClaimReply(
             number,
@@ -128,11 +128,11 @@
             record.body_digest,
         )
         if address == self._address:
-            self._local(Received(address, reply))
+            self._deliver_locally(Received(address, reply))
         else:
             self._links.tell(Send(address, reply))
 
-    def _shard(self, number: int) -> _Shard:
+    def _get_or_start_shard(self, number: int) -> _RunningShard:
         shard = self._shards.get(number)
         if shard is None or shard.task.done():
             settings = self._settings
@@ -143,13 +143,16 @@
                 settings.shards / settings.writes_per_second,
             )
             task = asyncio.create_task(writer.run(), name=f"claim shard {number}")
-            shard = _Shard(writer, task)
+            shard = _RunningShard(writer, task)
             self._shards[number] = shard
         return shard
 
-    def _drop_shards(self) -> None:
-        """Give up the memory of shards that now fall to another instance."""
+    def _drop_reassigned_shards(self) -> None:
+        """Free the idle shards that another instance writes now."""
         for number, shard in list(self._shards.items()):
-            if self._view.claim_writer(number) != self._own_name and shard.writer.idle:
+            if (
+                self._view.claim_writer(number) != self._own_name
+                and shard.writer.is_idle
+            ):
                 shard.task.cancel()
                 del self._shards[number]
--- a/tests/test_claimer.py
+++ b/tests/test_claimer.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.claims.claimer: whose claims are asked of whom."""
+"""hibiscusstep.claims.claimer: which writer a claim is sent to."""
 
 import asyncio
 
@@ -34,8 +34,8 @@
     return View(members)
 
 
-class _World:
-    """A claimer among three instances; `writer` has the shard of the key."""
+class _ClaimerHarness:
+    """A claimer among four instances, with its sent messages recorded."""
 
     def __init__(self, lookup=False):
         self.links = _Links()
@@ -44,96 +44,98 @@
         self.names = ["e0", "e1", "e2", "e3"]
         self.request = ClaimRequest(DIGEST, b"body", "attempt", lookup=lookup)
 
-    async def ask(self):
+    async def send_claim(self):
         await self.claimer.handle(ViewChanged(_view(*self.names)))
         question = Question(self.request)
         await self.claimer.handle(question)
         return question
 
     @property
-    def asked(self):
-        """Whom the claim was asked of, in order."""
+    def addresses(self):
+        """Addresses that the claim was sent to, in order."""
         return [sent for sent, _message in self.links.sent] + [
             received.sender for received in self.local
         ]
 
-    async def lose(self, address):
-        """The instance at an address is gone; return the view without it."""
+    async def remove_instance(self, address):
+        """Remove the instance at an address from the view."""
         self.names = [name for name in self.names if f"{name}:1" != address]
         await self.claimer.handle(ViewChanged(_view(*self.names)))
 
     async def confirm(self):
-        _address, ask = (self.links.sent or [("", self.local[-1].message)])[-1]
+        _address, claim = (self.links.sent or [("", self.local[-1].message)])[-1]
         reply = ClaimReply(
-            ask.number, ClaimResult.CONFIRMED, "e0", "e0-1", "attempt", b""
+            claim.number, ClaimResult.CONFIRMED, "e0", "e0-1", "attempt", b""
         )
         await self.claimer.handle(Received("w:1", reply))
 
 
 class TestWriterLost:
-    """A claim in the hands of an instance that was killed was refused: its caller was
-    told that the request was not run, although nothing else was wrong.
+    """A claim sent to an instance that was then killed was refused: its caller got *not
+    run* although another instance could have written the claim.
     """
 
     @pytest.mark.parametrize("lookup", [False, True])
-    async def test_the_next_writer_is_asked(self, lookup):
-        world = _World(lookup)
-        question = await world.ask()
-        await world.lose(world.asked[0])
-        assert len(world.asked) == 2
-        assert world.asked[0] != world.asked[1]
-        await world.confirm()
+    async def test_the_claim_is_sent_to_the_next_writer(self, lookup):
+        harness = _ClaimerHarness(lookup)
+        question = await harness.send_claim()
+        await harness.remove_instance(harness.addresses[0])
+        assert len(harness.addresses) == 2
+        assert harness.addresses[0] != harness.addresses[1]
+        await harness.confirm()
         assert question.answer.result().result is ClaimResult.CONFIRMED
 
-    async def test_one_that_started_again_is_asked_again(self):
-        world = _World()
-        await world.ask()
-        await world.claimer.handle(ViewChanged(_view(*world.names, incarnation="2")))
-        assert world.asked == [world.asked[0]] * 2
-
-    async def test_a_lost_connection_is_enough(self):
-        world = _World()
-        await world.ask()
-        await world.claimer.handle(LinkLost(world.asked[0]))
-        assert len(world.asked) == 1
-        await world.claimer.handle(Tick())
-        assert world.asked == [world.asked[0]] * 2
-
-    async def test_it_is_the_same_attempt(self):
-        world = _World()
-        await world.ask()
-        await world.lose(world.asked[0])
-        sent = [message for _address, message in world.links.sent]
-        sent += [received.message for received in world.local]
+    async def test_the_claim_is_resent_to_a_restarted_writer(self):
+        harness = _ClaimerHarness()
+        await harness.send_claim()
+        await harness.claimer.handle(
+            ViewChanged(_view(*harness.names, incarnation="2"))
+        )
+        assert harness.addresses == [harness.addresses[0]] * 2
+
+    async def test_the_claim_is_resent_after_a_lost_connection(self):
+        harness = _ClaimerHarness()
+        await harness.send_claim()
+        await harness.claimer.handle(LinkLost(harness.addresses[0]))
+        assert len(harness.addresses) == 1
+        await harness.claimer.handle(Tick())
+        assert harness.addresses == [harness.addresses[0]] * 2
+
+    async def test_the_resent_claim_is_identical(self):
+        harness = _ClaimerHarness()
+        await harness.send_claim()
+        await harness.remove_instance(harness.addresses[0])
+        sent = [message for _address, message in harness.links.sent]
+        sent += [received.message for received in harness.local]
         assert len(set(map(repr, sent))) == 1
 
-    async def test_an_answered_one_is_not_asked_again(self):
-        world = _World()
-        await world.ask()
-        await world.confirm()
-        await world.lose(world.asked[0])
-        assert len(world.asked) == 1
+    async def test_an_answered_claim_is_not_resent(self):
+        harness = _ClaimerHarness()
+        await harness.send_claim()
+        await harness.confirm()
+        await harness.remove_instance(harness.addresses[0])
+        assert len(harness.addresses) == 1
 
 
-class TestWriterThatStays:
-    async def test_is_asked_once(self):
-        world = _World()
-        await world.ask()
-        await world.claimer.handle(ViewChanged(_view(*world.names)))
-        await world.claimer.handle(Tick())
-        await world.claimer.handle(LinkLost("another:1"))
-        await world.claimer.handle(Tick())
-        assert len(world.asked) == 1
+class TestUnchangedWriter:
+    async def test_gets_the_claim_once(self):
+        harness = _ClaimerHarness()
+        await harness.send_claim()
+        await harness.claimer.handle(ViewChanged(_view(*harness.names)))
+        await harness.claimer.handle(Tick())
+        await harness.claimer.handle(LinkLost("another:1"))
+        await harness.claimer.handle(Tick())
+        assert len(harness.addresses) == 1
 
     async def test_a_claim_that_gets_no_answer_is_unavailable(self):
-        world = _World()
-        question = await world.ask()
-        world.claimer._settings = world.claimer._settings.model_copy(
+        harness = _ClaimerHarness()
+        question = await harness.send_claim()
+        harness.claimer._settings = harness.claimer._settings.model_copy(
             update={"timeout": -1.0}
         )
-        late = Question(world.request)
-        await world.claimer.handle(late)
-        await world.claimer.handle(Tick())
+        late = Question(harness.request)
+        await harness.claimer.handle(late)
+        await harness.claimer.handle(Tick())
         assert late.answer.result().result is ClaimResult.UNAVAILABLE
         assert not question.answer.done()
         await asyncio.sleep(0)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims of keys: one holder each, through faults, sealing and restarts."""
+"""Claims: each key has one holder, despite faults, sealing and restarts."""
 
 import asyncio
 import time
@@ -20,8 +20,8 @@
     return ClaimRecord(digest, b"body", "e0", "inc", attempt, at)
 
 
-class Bench:
-    """Writers of one shard before one platform."""
+class WriterGroup:
+    """Writers of one shard that share a platform."""
 
     def __init__(self, writers=2, retention=86_400.0):
         self.platform = MemoryPlatform()
@@ -60,130 +60,128 @@
 
 
 @pytest.fixture
-def quick(monkeypatch):
+def short_pauses(monkeypatch):
     monkeypatch.setattr(shard_module, "RETRY_PAUSE_S", 0.002)
     monkeypatch.setattr(shard_module, "OUTAGE_AFTER_S", 0.01)
 
 
 @pytest.fixture
-async def bench(quick):
-    made = Bench()
-    yield made
-    await made.close()
+async def group(short_pauses):
+    group = WriterGroup()
+    yield group
+    await group.close()
 
 
 class TestClaim:
-    async def test_the_first_holds_it_for_all_writers(self, bench):
-        one, two = bench.writers
-        assert (await bench.claim(one, "k", "a")).result is ClaimResult.CONFIRMED
-        held = await bench.claim(two, "k", "b")
-        assert held.result is ClaimResult.HELD and held.record.attempt == "a"
-        assert (await bench.claim(one, "k", "a")).result is ClaimResult.CONFIRMED
-
-    async def test_a_writer_that_was_paused_loses_the_write(self, bench):
-        one, two = bench.writers
-        await bench.claim(one, "first", "x")
-        await bench.claim(two, "k", "a")
-        held = await bench.claim(one, "k", "b")
-        assert held.result is ClaimResult.HELD and held.record.attempt == "a"
-
-    async def test_a_dead_attempt_is_superseded_once(self, bench):
-        one, two = bench.writers
-        await bench.claim(one, "k", "a")
-        both = await asyncio.gather(
-            bench.claim(one, "k", "b", supersedes="a"),
-            bench.claim(two, "k", "c", supersedes="a"),
+    async def test_the_first_claim_holds_the_key_for_all_writers(self, group):
+        one, two = group.writers
+        assert (await group.claim(one, "k", "a")).result is ClaimResult.CONFIRMED
+        held = await group.claim(two, "k", "b")
+        assert held.result is ClaimResult.HELD and held.latest_record.attempt == "a"
+        assert (await group.claim(one, "k", "a")).result is ClaimResult.CONFIRMED
+
+    async def test_a_writer_with_an_outdated_head_fails_to_write(self, group):
+        one, two = group.writers
+        await group.claim(one, "first", "x")
+        await group.claim(two, "k", "a")
+        held = await group.claim(one, "k", "b")
+        assert held.result is ClaimResult.HELD and held.latest_record.attempt == "a"
+
+    async def test_a_dead_attempt_is_superseded_once(self, group):
+        one, two = group.writers
+        await group.claim(one, "k", "a")
+        verdicts = await asyncio.gather(
+            group.claim(one, "k", "b", supersedes="a"),
+            group.claim(two, "k", "c", supersedes="a"),
         )
-        results = sorted(str(verdict.result) for verdict in both)
+        results = sorted(str(verdict.result) for verdict in verdicts)
         assert results == ["confirmed", "held"]
 
-    async def test_a_released_key_is_free(self, bench):
-        one, two = bench.writers
-        await bench.claim(one, "k", "a")
+    async def test_a_released_key_is_free(self, group):
+        one, two = group.writers
+        await group.claim(one, "k", "a")
         one.release(record("k", "a"))
-        while bench.writers[0]._releases or not one.idle:
+        while group.writers[0]._releases or not one.is_idle:
             await asyncio.sleep(0.001)
-        assert (await bench.claim(two, "k", "b")).result is ClaimResult.CONFIRMED
+        assert (await group.claim(two, "k", "b")).result is ClaimResult.CONFIRMED
 
-    async def test_a_lookup_writes_nothing(self, bench):
-        verdict = await bench.claim(bench.writers[0], "k", "a", lookup=True)
+    async def test_a_lookup_writes_nothing(self, group):
+        verdict = await group.claim(group.writers[0], "k", "a", lookup=True)
         assert verdict.result is ClaimResult.FREE
-        assert bench.platform.calls["put"] == 0
+        assert group.platform.calls["put"] == 0
 
-    async def test_many_go_in_one_write(self, bench):
-        bench.platform.faults.delay = 0.02
+    async def test_many_claims_share_one_write(self, group):
+        group.platform.faults.delay = 0.02
         await asyncio.gather(
-            *(bench.claim(bench.writers[0], f"k{n}", f"a{n}") for n in range(200))
+            *(group.claim(group.writers[0], f"k{n}", f"a{n}") for n in range(200))
         )
-        assert bench.platform.calls["put"] <= 3
+        assert group.platform.calls["put"] <= 3
 
-    async def test_an_outage_is_unavailable_and_later_free_or_held(self, bench):
-        bench.platform.faults.down = True
-        verdict = await bench.claim(bench.writers[0], "k", "a", timeout=0.1)
+    async def test_an_outage_is_unavailable_and_later_free_or_held(self, group):
+        group.platform.faults.down = True
+        verdict = await group.claim(group.writers[0], "k", "a", timeout=0.1)
         assert verdict.result is ClaimResult.UNAVAILABLE
-        bench.platform.faults.down = False
-        verdict = await bench.claim(bench.writers[1], "k", "b")
+        group.platform.faults.down = False
+        verdict = await group.claim(group.writers[1], "k", "b")
         assert verdict.result is ClaimResult.CONFIRMED
 
-    async def test_a_write_that_landed_unheard_and_was_given_up_is_released(
-        self, bench
-    ):
-        one, two = bench.writers
-        await bench.claim(one, "other", "x")
-        faults = bench.platform.faults
+    async def test_a_claim_written_after_its_timeout_is_released(self, group):
+        one, two = group.writers
+        await group.claim(one, "other", "x")
+        faults = group.platform.faults
         faults.lose_answers = 1
-        puts = bench.platform.calls["put"]
+        puts = group.platform.calls["put"]
 
-        def after_it_landed(_step, _key):
-            faults.down = bench.platform.calls["put"] > puts + 1
+        def fail_calls_after_the_write(_step, _key):
+            faults.down = group.platform.calls["put"] > puts + 1
 
-        bench.platform.observer = after_it_landed
-        verdict = await bench.claim(one, "k", "a", timeout=0.05)
+        group.platform.observer = fail_calls_after_the_write
+        verdict = await group.claim(one, "k", "a", timeout=0.05)
         assert verdict.result is ClaimResult.UNAVAILABLE
-        bench.platform.observer = None
+        group.platform.observer = None
         faults.down = False
         async with asyncio.timeout(10):
-            while (await bench.claim(two, "k", "b")).result is ClaimResult.HELD:
+            while (await group.claim(two, "k", "b")).result is ClaimResult.HELD:
                 await asyncio.sleep(0.01)
 
 
-class TestKeeping:
+class TestSealing:
     @pytest.fixture(autouse=True)
-    def small(self, monkeypatch, quick):
+    def small_segments(self, monkeypatch, short_pauses):
         monkeypatch.setattr(shard_module, "SEAL_AT", 4)
 
-    async def test_a_restart_reads_back_all_with_few_reads(self, bench):
+    async def test_a_new_writer_loads_all_claims_with_few_reads(self, group):
         for number in range(100):
-            await bench.claim(bench.writers[0], f"k{number}", f"a{number}")
-        reads = bench.platform.calls["get"]
-        fresh = bench.add_writer()
+            await group.claim(group.writers[0], f"k{number}", f"a{number}")
+        reads = group.platform.calls["get"]
+        new_writer = group.add_writer()
         for number in range(100):
-            verdict = await bench.claim(fresh, f"k{number}", "late")
+            verdict = await group.claim(new_writer, f"k{number}", "late")
             assert verdict.result is ClaimResult.HELD
-        assert bench.platform.calls["get"] - reads <= 12
+        assert group.platform.calls["get"] - reads <= 12
 
-    async def test_two_writers_seal_beside_each_other(self, bench):
+    async def test_two_writers_seal_concurrently(self, group):
         await asyncio.gather(
-            *(bench.claim(bench.writers[n % 2], f"k{n}", f"a{n}") for n in range(60))
+            *(group.claim(group.writers[n % 2], f"k{n}", f"a{n}") for n in range(60))
         )
-        fresh = bench.add_writer()
+        new_writer = group.add_writer()
         for number in range(60):
-            verdict = await bench.claim(fresh, f"k{number}", "late")
+            verdict = await group.claim(new_writer, f"k{number}", "late")
             assert verdict.result is ClaimResult.HELD
 
-    async def test_old_claims_end_and_their_objects_go(self, quick):
-        bench = Bench(writers=1, retention=50.0)
+    async def test_expired_claims_and_their_segments_are_deleted(self, short_pauses):
+        group = WriterGroup(writers=1, retention=50.0)
         old = int(time.time()) - 100
         for number in range(12):
             claim = record(f"old{number}", "a", at=old)
-            await bench.claim(bench.writers[0], "", "", record=claim)
+            await group.claim(group.writers[0], "", "", record=claim)
         for number in range(12):
-            await bench.claim(bench.writers[0], f"new{number}", "b")
-        again = await bench.claim(bench.writers[0], "old1", "c")
+            await group.claim(group.writers[0], f"new{number}", "b")
+        again = await group.claim(group.writers[0], "old1", "c")
         assert again.result is ClaimResult.CONFIRMED
-        segments = [key for key in bench.platform._objects if "segment" in key]
+        segments = [key for key in group.platform._objects if "segment" in key]
         assert len(segments) <= 4
-        await bench.close()
+        await group.close()
 
 
 STEPS = st.lists(
@@ -197,9 +195,9 @@
 )
 
 
-class TestAnyFaults:
+class TestRandomFaults:
     @given(STEPS)
-    def test_one_holder_a_key(self, steps):
+    def test_each_key_has_one_holder(self, steps):
         asyncio.run(self.run_steps(steps))
 
     async def run_steps(self, steps):
@@ -207,41 +205,41 @@
         seal = shard_module.SEAL_AT
         shard_module.RETRY_PAUSE_S, shard_module.OUTAGE_AFTER_S = 0.001, 0.005
         shard_module.SEAL_AT = 3
-        bench = Bench(writers=3)
+        group = WriterGroup(writers=3)
         confirmed = {}
         try:
-            for number, (what, which, key) in enumerate(steps):
-                if what == "claim":
-                    writer = bench.writers[which]
+            for number, (action, writer_index, key) in enumerate(steps):
+                if action == "claim":
+                    writer = group.writers[writer_index]
                     attempt = f"a{number}"
-                    verdict = await bench.claim(writer, key, attempt, timeout=0.02)
+                    verdict = await group.claim(writer, key, attempt, timeout=0.02)
                     if verdict.result is ClaimResult.CONFIRMED:
                         confirmed.setdefault(key, []).append(attempt)
-                elif what == "restart":
-                    bench.tasks[which].cancel()
-                    bench.writers[which] = bench.add_writer()
-                    bench.writers.pop()
-                    bench.tasks[which] = bench.tasks.pop()
+                elif action == "restart":
+                    group.tasks[writer_index].cancel()
+                    group.writers[writer_index] = group.add_writer()
+                    group.writers.pop()
+                    group.tasks[writer_index] = group.tasks.pop()
                 else:
-                    faults = bench.platform.faults
-                    faults.down = what == "down" or (faults.down and what != "up")
-                    faults.lose_answers += what == "lose"
+                    faults = group.platform.faults
+                    faults.down = action == "down" or (faults.down and action != "up")
+                    faults.lose_answers += action == "lose"
             assert all(len(attempts) == 1 for attempts in confirmed.values()), confirmed
         finally:
-            await bench.close()
+            await group.close()
             shard_module.RETRY_PAUSE_S, shard_module.OUTAGE_AFTER_S = pause, outage
             shard_module.SEAL_AT = seal
 
 
 class TestIndex:
-    def test_a_later_record_counts_whatever_is_loaded_first(self):
+    def test_the_later_record_wins_in_any_load_order(self):
         index = ClaimIndex(100)
         newer, older = record("k", "b"), record("k", "a")
         newer.sequence, older.sequence = 2, 1
         index.take_head(ClaimHead([], [newer]), 1)
         index.load_segment("s", [older])
-        assert index.record(newer.digest).attempt == "b"
+        assert index.latest_record(newer.digest).attempt == "b"
 
     @given(st.binary(min_size=16, max_size=16), st.integers(1, 512))
-    def test_a_key_has_one_shard(self, digest, shards):
+    def test_a_key_maps_to_a_valid_shard(self, digest, shards):
         assert 0 <= shard_of(digest, shards) < shards
