--- a/hibiscusstep/claims/claimer.py
+++ b/hibiscusstep/claims/claimer.py
@@ -8,7 +8,7 @@
 from hibiscusstep.claims.index import ClaimResult, Verdict
 from hibiscusstep.claims.records import ClaimRecord, shard_of
 from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.configuration.models import Claims
+from hibiscusstep.configuration.models import ClaimSettings
 from hibiscusstep.mailbox import Question, Tick, Worker
 from hibiscusstep.membership.view import Member, View
 from hibiscusstep.membership.worker import ViewChanged
@@ -109,7 +109,7 @@
         self._address = address
         self._links = links
         self._deliver_locally = deliver_locally
-        self._settings = Claims()
+        self._settings = ClaimSettings()
         self._view = View()
         self._pending: dict[str, _PendingClaim] = {}
         self._claim_numbers = itertools.count()
--- a/hibiscusstep/claims/writer.py
+++ b/hibiscusstep/claims/writer.py
@@ -9,7 +9,7 @@
 from hibiscusstep.claims.records import ClaimRecord
 from hibiscusstep.claims.shard import Pending, ShardWriter
 from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.configuration.models import Claims
+from hibiscusstep.configuration.models import ClaimSettings
 from hibiscusstep.mailbox import Tick, Worker
 from hibiscusstep.membership.view import View
 from hibiscusstep.membership.worker import ViewChanged
@@ -60,7 +60,7 @@
         self._platform = platform
         self._links = links
         self._deliver_locally = deliver_locally
-        self._settings = Claims()
+        self._settings = ClaimSettings()
         self._view = View()
         self._shards: dict[int, _RunningShard] = {}
 
--- a/hibiscusstep/configuration/__init__.py
+++ b/hibiscusstep/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""hibiscusstep.configuration: folder, models, settings and the version in force."""
+"""hibiscusstep.configuration: files, models, settings and the version in force."""
--- a/hibiscusstep/configuration/change.py
+++ b/hibiscusstep/configuration/change.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.configuration.change: operators' changes, written conditionally."""
+"""hibiscusstep.configuration.change: conditional writes of operators' changes."""
 
 import asyncio
 import getpass
@@ -10,7 +10,7 @@
 
 import orjson
 
-from hibiscusstep.configuration.folder import SUFFIX, read_folder
+from hibiscusstep.configuration.folder import FILE_SUFFIX, read_folder
 from hibiscusstep.configuration.stored import CONFIGURATION_KEY, Stored
 from hibiscusstep.errors import (
     ConfigurationError,
@@ -21,7 +21,7 @@
 from hibiscusstep.store import Platform
 
 __all__ = [
-    "Applied",
+    "AppliedChange",
     "Base",
     "ChangeConflict",
     "apply_change",
@@ -32,25 +32,25 @@
     "write_folder",
 ]
 
-BASE_NAME = ".hibiscusstep-base"
-MAX_TRIES = 10
+BASE_FILE_NAME = ".hibiscusstep-base"
+MAX_ATTEMPTS = 10
 RETRY_PAUSE_S = 0.5
 
 
 class ChangeConflict(HibiscusstepError):
-    """Someone else changed the same file since it was read."""
+    """Another operator changed the same file since it was read."""
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
+class AppliedChange:
     """An accepted change.
 
     Parameters
     ----------
     version : int
-        The platform's version of the object.
+        Version of the stored object on the platform.
     changed : tuple of str
-        Files added, replaced or removed; empty if nothing had to change.
+        Files added, replaced or removed; empty if nothing changed.
     """
 
     version: int
@@ -59,14 +59,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Base:
-    """What a folder was last made equal to.
+    """The accepted configuration that a folder was last synchronized with.
 
     Parameters
     ----------
     version : int
-        Version of the configuration, 0 for none.
+        Version of the configuration; 0 if there was none.
     digests : dict of str to str
-        File name to digest.
+        Digests by file name.
     """
 
     version: int = 0
@@ -74,31 +74,31 @@
 
     @classmethod
     def read(cls, folder: Path) -> "Base":
-        """Return the base of a folder; of a new folder, the empty one."""
+        """Return the base of a folder, or an empty one for a new folder."""
         try:
-            data = orjson.loads((folder / BASE_NAME).read_bytes())
+            data = orjson.loads((folder / BASE_FILE_NAME).read_bytes())
             return cls(data["version"], data["digests"])
         except (OSError, KeyError, orjson.JSONDecodeError):
             return cls(0, {})
 
     @classmethod
-    def of(cls, version: int, files: dict[str, str]) -> "Base":
-        """Return the base that a version's files make."""
+    def from_files(cls, version: int, files: dict[str, str]) -> "Base":
+        """Return the base for the files of a version."""
         return cls(version, {name: _digest(text) for name, text in files.items()})
 
     def write(self, folder: Path) -> None:
-        """Keep the base in the folder."""
+        """Write the base to the folder."""
         data = {"version": self.version, "digests": self.digests}
-        (folder / BASE_NAME).write_bytes(orjson.dumps(data))
+        (folder / BASE_FILE_NAME).write_bytes(orjson.dumps(data))
 
 
 async def read_stored(platform: Platform) -> tuple[int, Stored]:
-    """Return version and object of the accepted configuration, 0 if there is none.
+    """Return the accepted configuration and its version, 0 if there is none.
 
     Raises
     ------
     PlatformError
-        If the platform gives no answer.
+        If the platform does not answer.
     """
     found = await platform.get(CONFIGURATION_KEY)
     if found.is_ok():
@@ -109,54 +109,58 @@
     raise found.unwrap_err()
 
 
-def file_changes(mine: dict[str, str], stored: Stored, base: Base) -> dict:
-    """Return what the folder changed since its base: name to text, None if removed.
+def file_changes(files: dict[str, str], stored: Stored, base: Base) -> dict:
+    """Return the files changed since the base: name to text, None if removed.
 
     Raises
     ------
     ChangeConflict
-        If another operator changed one of these files, or added one of that name.
+        If another operator changed one of these files, or added one with its name.
     """
-    known = base.digests or {}
-    theirs = {name: _digest(text) for name, text in stored.files.items()}
-    digests = {name: _digest(text) for name, text in mine.items()}
+    base_digests = base.digests or {}
+    stored_digests = {name: _digest(text) for name, text in stored.files.items()}
+    digests = {name: _digest(text) for name, text in files.items()}
     changed = {
-        name: mine.get(name)
-        for name in sorted(digests.keys() | known.keys())
-        if digests.get(name) != known.get(name)
+        name: files.get(name)
+        for name in sorted(digests.keys() | base_digests.keys())
+        if digests.get(name) != base_digests.get(name)
     }
     for name in changed:
-        if theirs.get(name) not in (known.get(name), digests.get(name)):
-            who = stored.changed.get(name, "someone")
+        if stored_digests.get(name) not in (base_digests.get(name), digests.get(name)):
+            editor = stored.changed.get(name, "someone")
             raise ChangeConflict(
-                f"{name} was changed by {who} since version {base.version}; "
+                f"{name} was changed by {editor} since version {base.version}; "
                 "pull into another folder, compare, and apply again",
                 step="apply",
                 peer=name,
             )
-    return {n: text for n, text in changed.items() if theirs.get(n) != digests.get(n)}
+    return {
+        n: text
+        for n, text in changed.items()
+        if stored_digests.get(n) != digests.get(n)
+    }
 
 
 async def apply_folder(
     platform: Platform, folder: Path, author: str = "", *, log: Callable
-) -> Applied:
-    """Make the accepted configuration contain a folder's changes.
+) -> AppliedChange:
+    """Merge a folder's changes into the accepted configuration.
 
     Parameters
     ----------
     platform : Platform
-        Where it lives.
+        Stores the configuration.
     folder : pathlib.Path
-        Files and, hidden, the base that they were changed from.
+        Folder with the files and a hidden file with their base.
     author : str
-        Who changes; by default the user's name.
+        Author of the change; the user's name by default.
     log : callable of str
-        Gets a line on each repeated try.
+        Called with a line for each retry.
 
     Raises
     ------
     ChangeConflict, ConfigurationError, PlatformError
-        Nothing was changed by this call, unless the error says it is not known.
+        Nothing was changed, unless the message says that the outcome is unknown.
     """
     files = read_folder(folder)
     base = Base.read(folder)
@@ -164,20 +168,22 @@
     def edit(stored: Stored) -> Stored:
         changed = file_changes(files, stored, base)
         merged = {**stored.files, **{n: t for n, t in changed.items() if t is not None}}
-        kept = {n: t for n, t in merged.items() if changed.get(n, t) is not None}
+        remaining = {n: t for n, t in merged.items() if changed.get(n, t) is not None}
         authors = {**stored.changed, **dict.fromkeys(changed, _author(author))}
-        return stored.model_copy(update={"files": kept, "changed": authors})
+        return stored.model_copy(update={"files": remaining, "changed": authors})
 
     applied = await apply_change(platform, edit, author, log=log)
     _version, stored = await read_stored(platform)
-    Base.of(applied.version, {n: stored.files.get(n, "") for n in files}).write(folder)
+    Base.from_files(applied.version, {n: stored.files.get(n, "") for n in files}).write(
+        folder
+    )
     return applied
 
 
 async def mark_drained(
     platform: Platform, target: str, drained: bool, author: str = ""
-) -> Applied:
-    """Mark a target as taking no new work, or take the mark off.
+) -> AppliedChange:
+    """Mark a target as drained, so that it gets no new work, or remove the mark.
 
     Raises
     ------
@@ -187,13 +193,15 @@
 
     def edit(stored: Stored) -> Stored:
         pools = stored.load().pools.values()
-        known = sorted(name for pool in pools for name in pool.targets)
-        if target not in known:
+        target_names = sorted(name for pool in pools for name in pool.targets)
+        if target not in target_names:
             raise ConfigurationError(
-                f"no such target; choose from {', '.join(known)}", key=target
+                f"no such target; choose from {', '.join(target_names)}", key=target
             )
-        marks = set(stored.drained) - {target} | ({target} if drained else set())
-        return stored.model_copy(update={"drained": sorted(marks)})
+        drained_targets = set(stored.drained) - {target} | (
+            {target} if drained else set()
+        )
+        return stored.model_copy(update={"drained": sorted(drained_targets)})
 
     return await apply_change(platform, edit, author, log=lambda _line: None)
 
@@ -204,17 +212,17 @@
     author: str,
     *,
     log: Callable,
-) -> Applied:
-    """Read, edit, check, and write if nothing changed meanwhile; else again.
+) -> AppliedChange:
+    """Read, edit, check and conditionally write the configuration, with retries.
 
-    A write whose answer was lost is read back: the change has an id, so whether it
-    stands is known and not guessed.
+    After a lost answer, the configuration is read back: the id of the change shows
+    whether the write took effect.
     """
-    for _try in range(MAX_TRIES):
+    for _attempt in range(MAX_ATTEMPTS):
         version, stored = await read_stored(platform)
         edited = edit(stored)
         if edited == stored:
-            return Applied(version, ())
+            return AppliedChange(version, ())
         successor = edited.load()
         if version:
             stored.load().check_successor(successor)
@@ -224,38 +232,38 @@
             if edited.files.get(name) != stored.files.get(name)
         )
         change = uuid.uuid4().hex
-        named = edited.model_copy(update={"change": change, "author": _author(author)})
-        done = await _write(platform, named, version, log)
+        signed = edited.model_copy(update={"change": change, "author": _author(author)})
+        done = await _write(platform, signed, version, log)
         if done is not None:
-            return Applied(done, changed or ("drained",))
-        log("another change came first; merging with it")
-    raise ChangeConflict("others keep changing it; try again", step="apply")
+            return AppliedChange(done, changed or ("drained",))
+        log("another change was written first; merging with it")
+    raise ChangeConflict("the configuration keeps changing; try again", step="apply")
 
 
 async def _write(platform: Platform, stored: Stored, version: int, log) -> int | None:
-    """Return the version written, None if another change came first."""
+    """Return the version written, or None if another change was written first."""
     value = stored.to_bytes()
-    last = None
-    for _try in range(MAX_TRIES):
+    last_error = None
+    for _attempt in range(MAX_ATTEMPTS):
         written = await platform.put(CONFIGURATION_KEY, value, version)
         if written.is_ok():
             return written.unwrap()
-        last = written.unwrap_err()
-        if isinstance(last, PlatformConflict):
-            now, found = await _read_until_answered(platform, log)
-            return now if found.change == stored.change else None
+        last_error = written.unwrap_err()
+        if isinstance(last_error, PlatformConflict):
+            current_version, found = await _read_until_answered(platform, log)
+            return current_version if found.change == stored.change else None
         log("no answer from the platform; sending the same write again")
         await asyncio.sleep(RETRY_PAUSE_S)
     raise HibiscusstepError(
-        f"outcome unknown, the platform gives no answer ({last}); run apply again: "
-        "it finds out",
+        f"outcome unknown, the platform does not answer ({last_error}); run apply "
+        "again to find out",
         step="apply",
         peer="platform",
     )
 
 
 async def _read_until_answered(platform: Platform, log) -> tuple[int, Stored]:
-    for _try in range(MAX_TRIES):
+    for _attempt in range(MAX_ATTEMPTS):
         found = await platform.get(CONFIGURATION_KEY)
         if found.is_ok():
             item = found.unwrap()
@@ -274,11 +282,11 @@
 
 
 def write_folder(folder: Path, version: int, stored: Stored) -> None:
-    """Make a folder equal to the accepted configuration."""
+    """Write the accepted configuration to a folder and remove its other files."""
     folder.mkdir(parents=True, exist_ok=True)
-    for path in folder.glob(f"*{SUFFIX}"):
+    for path in folder.glob(f"*{FILE_SUFFIX}"):
         if path.name not in stored.files:
             path.unlink()
     for name, text in stored.files.items():
         (folder / name).write_text(text, "utf-8")
-    Base.of(version, stored.files).write(folder)
+    Base.from_files(version, stored.files).write(folder)
--- a/hibiscusstep/configuration/folder.py
+++ b/hibiscusstep/configuration/folder.py
@@ -1,4 +1,7 @@
-"""hibiscusstep.configuration.folder: small JSON files with comments, merged by name."""
+"""hibiscusstep.configuration.folder: merges the JSON files, with comments, of a folder.
+
+Files are merged in the order of their names.
+"""
 
 from dataclasses import dataclass
 from functools import lru_cache
@@ -8,24 +11,24 @@
 
 from hibiscusstep.errors import ConfigurationError
 
-__all__ = ["Merged", "merge", "read_folder"]
+__all__ = ["MergedFiles", "merge", "read_folder"]
 
-SUFFIX = ".json"
-MAX_PARSED = 2048
+FILE_SUFFIX = ".json"
+MAX_CACHED_TREES = 2048
 
 
 @dataclass(frozen=True)
-class Merged:
-    """The files of a folder as one tree.
+class MergedFiles:
+    """The files of a folder merged into one tree.
 
     Parameters
     ----------
     data : dict
         The merged tree.
     origins : dict of str to str
-        Dotted key to the name of the file that set it last.
+        Name of the file that set each dotted key last.
     overrides : tuple of str
-        One line for each value that a later file replaced.
+        A message for each value that a later file replaced.
     """
 
     data: dict
@@ -33,43 +36,45 @@
     overrides: tuple[str, ...]
 
     def origin(self, key: str) -> str:
-        """Return the file that set a dotted key or its nearest parent."""
+        """Return the name of the file that set a dotted key or its nearest parent."""
         while key and key not in self.origins:
             key = key.rpartition(".")[0]
         return self.origins.get(key, "")
 
 
 def read_folder(path: Path) -> dict[str, str]:
-    """Return file name to text of the settings files of a folder, or of one file.
+    """Return the texts of the files of a folder, or of one file, by file name.
 
     Raises
     ------
     ConfigurationError
-        If there is none, or one cannot be read as text.
+        If there is no file, or one cannot be read as text.
     """
-    files = sorted(path.glob(f"*{SUFFIX}")) if path.is_dir() else [path]
+    files = sorted(path.glob(f"*{FILE_SUFFIX}")) if path.is_dir() else [path]
     if not files:
-        raise ConfigurationError(f"holds no file *{SUFFIX}; add one", file=str(path))
+        raise ConfigurationError(
+            f"holds no file *{FILE_SUFFIX}; add one", file=str(path)
+        )
     try:
         return {file.name: file.read_text("utf-8") for file in files}
     except (OSError, UnicodeDecodeError) as cause:
         raise ConfigurationError(f"cannot be read: {cause}", file=str(path)) from None
 
 
-def merge(texts: dict[str, str]) -> Merged:
+def merge(texts: dict[str, str]) -> MergedFiles:
     """Merge files in the order of their names; later values replace earlier ones.
 
     Raises
     ------
     ConfigurationError
-        Names the file that is not JSON with comments, or the key given twice in it.
+        If a file is not JSON with comments or contains a key twice.
     """
-    merged = Merged({}, {}, ())
+    merged = MergedFiles({}, {}, ())
     overrides: list[str] = []
     for name in sorted(texts):
         tree = _parse(name, texts[name])
         _merge_into(merged.data, tree, name, "", merged.origins, overrides)
-    return Merged(merged.data, merged.origins, tuple(overrides))
+    return MergedFiles(merged.data, merged.origins, tuple(overrides))
 
 
 def _parse(name: str, text: str) -> dict:
@@ -84,11 +89,12 @@
     return tree
 
 
-@lru_cache(maxsize=MAX_PARSED)
+@lru_cache(maxsize=MAX_CACHED_TREES)
 def _loads(text: str):
-    """Return the tree of a text, which nobody may change.
+    """Return the parsed tree of a text; callers must not modify it.
 
-    The library takes 5 us a byte; a change of one file parses that file alone.
+    The library takes 5 us per byte. With the cache, a change of one file parses only
+    that file.
     """
     return json5.loads(text, allow_duplicate_keys=False)
 
--- a/hibiscusstep/configuration/in_force.py
+++ b/hibiscusstep/configuration/in_force.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.configuration.in_force: the version that an instance acts by."""
+"""hibiscusstep.configuration.in_force: the configuration in force on an instance."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 @dataclass(frozen=True, slots=True)
 class InForce:
-    """A version of the configuration that an instance acts by.
+    """A version of the configuration that is in force on an instance.
 
     Parameters
     ----------
     version : int
-        The platform's version of the object; 0 is none.
+        Version of the stored object on the platform; 0 if there is none.
     value : bytes
-        The object, to hand on to peers.
+        The stored object, to be sent to peers.
     configuration : Configuration or None
-        Its checked form; None only for version 0.
+        The validated configuration; None only for version 0.
     """
 
     version: int = 0
--- a/hibiscusstep/configuration/keeper.py
+++ b/hibiscusstep/configuration/keeper.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.configuration.keeper: gets new versions, from the platform or a peer."""
+"""hibiscusstep.configuration.keeper: gets new versions from the platform or peers."""
 
 import asyncio
 import logging
@@ -21,37 +21,37 @@
 
 _LOG = logging.getLogger(__name__)
 TICK_S = 0.25
-WATCH_S = 20.0
-RETRY_S = 1.0
+WATCH_TIMEOUT_S = 20.0
+RETRY_INTERVAL_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class _Seen:
-    """A version was seen, at the platform or at a peer."""
+    """A version was read from the platform."""
 
     version: int
     value: bytes
 
 
 class ConfigurationKeeper(Worker):
-    """Keeps the version in force; it only ever grows.
+    """Worker that fetches the configuration; the version in force never decreases.
 
-    A few instances watch the platform (a waiting watch is a counted call). The
-    others see a higher version in a heartbeat and ask its sender for it. At the
-    start, and while it has none, an instance asks the platform and all peers.
+    A few instances watch the platform (a waiting watch is a counted call). The others
+    see a higher version in a heartbeat and request it from the sender. Until it has a
+    configuration, an instance asks both the platform and its peers.
 
     Parameters
     ----------
     name : str
-        Own name.
+        Name of this instance.
     watchers : int
-        How many instances watch.
+        Number of instances that watch the platform.
     platform : Platform
-        Where the configuration lives.
+        Stores the configuration.
     links : Worker
-        Sends to peers.
+        Sends messages to peers.
     publish : callable of InForce
-        Gets each new version.
+        Called with each new version.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
     ) -> None:
         super().__init__("configuration-keeper", tick_interval=TICK_S)
         self._own_name = name
-        self._watchers = watchers
+        self._watcher_count = watchers
         self._platform = platform
         self._links = links
         self._publish = publish
@@ -75,15 +75,15 @@
         self._random = random.Random(name)
 
     async def stop(self) -> None:
-        """End the watch."""
+        """Cancel the watch."""
         if self._watch:
             self._watch.cancel()
 
     async def handle(self, message) -> None:
-        """Take a tick, a view, a version, or a peer's question."""
+        """Handle a tick, a view, a version, or a peer's request or reply."""
         match message:
             case Tick():
-                self._look_around()
+                self._check_for_updates()
             case ViewChanged(view=view):
                 self._view = view
             case _Seen():
@@ -96,19 +96,19 @@
             case Received(message=ConfigurationReply(version=version, value=value)):
                 self._take(version, value)
 
-    def _look_around(self) -> None:
-        newest = max(
+    def _check_for_updates(self) -> None:
+        newest_peer = max(
             (m for m in self._view.members.values() if m.name != self._own_name),
             key=lambda member: member.version,
             default=None,
         )
-        if newest and newest.version > self._in_force.version:
-            self._links.tell(Send(newest.peer_address, ConfigurationAsk("")))
-        watching = self._own_name in self._view.watchers(self._watchers)
-        wanted = watching or not self._in_force.version
-        if wanted and (self._watch is None or self._watch.done()):
+        if newest_peer and newest_peer.version > self._in_force.version:
+            self._links.tell(Send(newest_peer.peer_address, ConfigurationAsk("")))
+        watching = self._own_name in self._view.watchers(self._watcher_count)
+        must_watch = watching or not self._in_force.version
+        if must_watch and (self._watch is None or self._watch.done()):
             self._watch = asyncio.create_task(self._watch_platform())
-        elif not wanted and self._watch:
+        elif not must_watch and self._watch:
             self._watch.cancel()
 
     async def _watch_platform(self) -> None:
@@ -117,15 +117,19 @@
                 found = await self._platform.get(CONFIGURATION_KEY)
             else:
                 after = self._in_force.version
-                found = await self._platform.watch(CONFIGURATION_KEY, after, WATCH_S)
+                found = await self._platform.watch(
+                    CONFIGURATION_KEY, after, WATCH_TIMEOUT_S
+                )
             if found.is_ok() and (item := found.unwrap()):
                 self.tell(_Seen(item.version, item.value))
                 await asyncio.sleep(TICK_S)
             elif found.is_err():
-                absent = isinstance(found.unwrap_err(), PlatformNotFound)
-                await asyncio.sleep(TICK_S if absent else RETRY_S * self._jitter())
+                is_absent = isinstance(found.unwrap_err(), PlatformNotFound)
+                await asyncio.sleep(
+                    TICK_S if is_absent else RETRY_INTERVAL_S * self._jitter_factor()
+                )
 
-    def _jitter(self) -> float:
+    def _jitter_factor(self) -> float:
         return 0.5 + self._random.random()
 
     def _take(self, version: int, value: bytes) -> None:
--- a/hibiscusstep/configuration/models.py
+++ b/hibiscusstep/configuration/models.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.configuration.models: the checked form of operators' files."""
+"""hibiscusstep.configuration.models: validated models of operators' files."""
 
 import hashlib
 import itertools
@@ -8,12 +8,12 @@
 import orjson
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
-from hibiscusstep.configuration.folder import Merged, merge
+from hibiscusstep.configuration.folder import MergedFiles, merge
 from hibiscusstep.errors import ConfigurationError, UnknownName
 from hibiscusstep.policy import get_policy_by_name
 
 __all__ = [
-    "Claims",
+    "ClaimSettings",
     "Configuration",
     "Customer",
     "Pool",
@@ -31,24 +31,24 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the form in which a customer's key is kept: SHA-256, hexadecimal."""
+    """Return the stored form of a customer's key: SHA-256 in hexadecimal."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
-class _Model(BaseModel):
+class _StrictModel(BaseModel):
     model_config = ConfigDict(
         extra="forbid", frozen=True, ignored_types=(cached_property,)
     )
 
 
-class Tier(_Model):
-    """A class of requests."""
+class Tier(_StrictModel):
+    """A priority class of requests."""
 
     rank: int = Field(ge=0, description="0 is the highest tier; ranks differ.")
 
 
-class Customer(_Model):
-    """Who sends requests."""
+class Customer(_StrictModel):
+    """A customer, which sends requests."""
 
     key_hashes: list[KeyHash] = Field(
         min_length=1, description="SHA-256 of each key the customer may present."
@@ -66,7 +66,7 @@
     )
 
 
-class Target(_Model):
+class Target(_StrictModel):
     """One engine or service process."""
 
     address: Address = Field(description="IP number and port.")
@@ -81,8 +81,8 @@
     drained: bool = Field(False, description="Takes no new work.")
 
 
-class Pool(_Model):
-    """Targets that do the same work."""
+class Pool(_StrictModel):
+    """A group of interchangeable targets."""
 
     kind: Literal["engine", "service"] = Field(description="Dialect of the targets.")
     policy: str = Field("expected-work", description="Placement policy, by name.")
@@ -90,7 +90,7 @@
     max_waiting: int = Field(10_000, ge=1, description="Requests that may wait.")
 
     @model_validator(mode="after")
-    def _known_policy(self) -> "Pool":
+    def _check_policy(self) -> "Pool":
         try:
             get_policy_by_name(self.policy)
         except UnknownName as cause:
@@ -98,8 +98,8 @@
         return self
 
 
-class Route(_Model):
-    """Which requests go to which pool, and what may be done with them."""
+class Route(_StrictModel):
+    """Rule that selects requests for a pool and sets how they are handled."""
 
     pool: Name = Field(description="Pool that serves the route.")
     model: str = Field("", description="Model named in the request (engine pools).")
@@ -123,7 +123,7 @@
     )
 
     @model_validator(mode="after")
-    def _one_selector(self) -> "Route":
+    def _check_selector(self) -> "Route":
         if bool(self.model) == bool(self.path):
             raise ValueError("give either model or path")
         if not self.idempotent and self.key == "none":
@@ -133,8 +133,8 @@
         return self
 
 
-class SheddingRule(_Model):
-    """What may be done to requests of a tier under overload."""
+class SheddingRule(_StrictModel):
+    """Actions that are allowed on the requests of a tier under overload."""
 
     may_be_shed: bool = Field(True, description="Waiting requests may be refused.")
     may_be_stopped: bool = Field(
@@ -143,11 +143,11 @@
     )
 
 
-_DEFAULT_RULE = SheddingRule()
+_DEFAULT_SHEDDING_RULE = SheddingRule()
 
 
-class Claims(_Model):
-    """How keys of requests that must not repeat are kept."""
+class ClaimSettings(_StrictModel):
+    """Storage of the idempotency keys of requests."""
 
     shards: int = Field(
         16,
@@ -166,19 +166,19 @@
     )
 
 
-class Configuration(_Model):
-    """Everything operators decide."""
+class Configuration(_StrictModel):
+    """The whole configuration set by operators."""
 
     tiers: dict[Name, Tier] = Field(min_length=1, description="Tiers by name.")
     customers: dict[Name, Customer] = Field({}, description="Customers by name.")
     pools: dict[Name, Pool] = Field({}, description="Target pools by name.")
     routes: dict[Name, Route] = Field({}, description="Routes by name.")
     shedding: dict[Name, SheddingRule] = Field({}, description="Rules by tier.")
-    claims: Claims = Field(Claims(), description="Keeping of keys.")
+    claims: ClaimSettings = Field(ClaimSettings(), description="Keeping of keys.")
 
     @cached_property
     def by_key_hash(self) -> dict[str, str]:
-        """Customer's name by hash of the key."""
+        """Customer names by key hash."""
         return {
             key_hash: name
             for name, customer in self.customers.items()
@@ -187,61 +187,65 @@
 
     @cached_property
     def by_model(self) -> dict[str, str]:
-        """Route's name by model."""
+        """Route names by model."""
         return {route.model: name for name, route in self.routes.items() if route.model}
 
     @cached_property
     def by_path(self) -> list[tuple[str, str]]:
-        """Path prefix and route's name, longest prefix first."""
+        """Pairs of path prefix and route name, longest prefix first."""
         pairs = (
             (route.path, name) for name, route in self.routes.items() if route.path
         )
         return sorted(pairs, key=lambda pair: -len(pair[0]))
 
     def check_successor(self, successor: "Configuration") -> None:
-        """Refuse a change by which claimed keys would be looked for elsewhere.
+        """Check that a new configuration keeps the number of claim shards.
+
+        With another number, claimed keys would be looked up in other shards.
 
         Raises
         ------
         ConfigurationError
-            Names the key.
+            If the number changes.
         """
         if successor.claims.shards != self.claims.shards:
             raise ConfigurationError(
-                f"is {self.claims.shards} and cannot change: keys that are claimed "
-                "would run again",
+                f"is {self.claims.shards} and cannot change: requests whose keys are "
+                "claimed would run again",
                 key="claims.shards",
             )
 
     def rule(self, tier: str) -> SheddingRule:
-        """Return the shedding rule of a tier, the default where none is given."""
-        return self.shedding.get(tier, _DEFAULT_RULE)
+        """Return the shedding rule of a tier, or the default rule."""
+        return self.shedding.get(tier, _DEFAULT_SHEDDING_RULE)
 
 
-def load_configuration(texts: dict[str, str]) -> tuple[Configuration, Merged]:
-    """Return the checked configuration of a folder's files.
+def load_configuration(texts: dict[str, str]) -> tuple[Configuration, MergedFiles]:
+    """Return the validated configuration of a folder's files, and the merged files.
 
     Parameters
     ----------
     texts : dict of str to str
-        File name to text.
+        Texts by file name.
 
     Raises
     ------
     ConfigurationError
-        Names file, key and fix of the first thing that is wrong.
+        Names file, key and fix of the first error.
     """
     merged = merge(texts)
     try:
         configuration = Configuration.model_validate_json(orjson.dumps(merged.data))
     except (ValidationError, TypeError) as cause:
-        raise _describe(cause, merged) from None
-    for key, detail in _problems(configuration):
+        raise _to_configuration_error(cause, merged) from None
+    for key, detail in _find_problems(configuration):
         raise ConfigurationError(detail, file=merged.origin(key), key=key)
     return configuration, merged
 
 
-def _describe(cause: Exception, merged: Merged) -> ConfigurationError:
+def _to_configuration_error(
+    cause: Exception, merged: MergedFiles
+) -> ConfigurationError:
     if not isinstance(cause, ValidationError):
         return ConfigurationError(f"cannot be read as JSON: {cause}")
     first = cause.errors()[0]
@@ -252,45 +256,45 @@
     return ConfigurationError(detail, file=merged.origin(key), key=key)
 
 
-def _problems(configuration: Configuration):
-    yield from _duplicates(configuration)
-    yield from _dangling(configuration)
-    yield from _misordered_shedding(configuration)
+def _find_problems(configuration: Configuration):
+    yield from _find_duplicates(configuration)
+    yield from _find_dangling_references(configuration)
+    yield from _find_misordered_shedding(configuration)
 
 
-def _duplicates(configuration: Configuration):
+def _find_duplicates(configuration: Configuration):
     ranks = {
         f"tiers.{name}.rank": tier.rank for name, tier in configuration.tiers.items()
     }
-    yield from _repeated(ranks, "rank")
+    yield from _find_repeated_values(ranks, "rank")
     hashes = {
         f"customers.{name}.key_hashes.{number}": key_hash
         for name, customer in configuration.customers.items()
         for number, key_hash in enumerate(customer.key_hashes)
     }
-    yield from _repeated(hashes, "key")
+    yield from _find_repeated_values(hashes, "key")
     addresses = {
         f"pools.{pool_name}.targets.{name}.address": target.address
         for pool_name, pool in configuration.pools.items()
         for name, target in pool.targets.items()
     }
-    yield from _repeated(addresses, "address")
+    yield from _find_repeated_values(addresses, "address")
     names = {
         f"pools.{pool_name}.targets.{name}": name
         for pool_name, pool in configuration.pools.items()
         for name in pool.targets
     }
-    yield from _repeated(names, "target name")
+    yield from _find_repeated_values(names, "target name")
     for selector in ("model", "path"):
-        chosen = {
+        selectors = {
             f"routes.{name}.{selector}": value
             for name, route in configuration.routes.items()
             if (value := getattr(route, selector))
         }
-        yield from _repeated(chosen, selector)
+        yield from _find_repeated_values(selectors, selector)
 
 
-def _repeated(values: dict, what: str):
+def _find_repeated_values(values: dict, what: str):
     first: dict = {}
     for key, value in values.items():
         if value in first:
@@ -298,9 +302,9 @@
         first.setdefault(value, key)
 
 
-def _dangling(configuration: Configuration):
+def _find_dangling_references(configuration: Configuration):
     tiers, pools = configuration.tiers, configuration.pools
-    named = itertools.chain(
+    references = itertools.chain(
         (
             (f"customers.{name}.tier", tier, tiers)
             for name, customer in configuration.customers.items()
@@ -317,7 +321,7 @@
         ),
         ((f"shedding.{name}", name, tiers) for name in configuration.shedding),
     )
-    for key, name, known in named:
+    for key, name, known in references:
         if name not in known:
             choices = ", ".join(sorted(known)) or "none is defined"
             yield key, f"names {name!r}, which does not exist; choose from {choices}"
@@ -327,16 +331,18 @@
             yield f"routes.{name}", f"pool {route.pool!r} is of kind {pool.kind!r}"
 
 
-def _misordered_shedding(configuration: Configuration):
+def _find_misordered_shedding(configuration: Configuration):
     ordered = sorted(
         configuration.tiers, key=lambda name: configuration.tiers[name].rank
     )
     for higher, lower in itertools.combinations(ordered, 2):
-        for right in ("may_be_shed", "may_be_stopped"):
-            upper_has = getattr(configuration.rule(higher), right)
-            if upper_has and not getattr(configuration.rule(lower), right):
+        for permission in ("may_be_shed", "may_be_stopped"):
+            allowed_for_higher = getattr(configuration.rule(higher), permission)
+            if allowed_for_higher and not getattr(
+                configuration.rule(lower), permission
+            ):
                 yield (
-                    f"shedding.{lower}.{right}",
+                    f"shedding.{lower}.{permission}",
                     f"tier {higher!r} could be shed or stopped before the lower "
-                    f"{lower!r}; set {right}: true here or false there",
+                    f"{lower!r}; set {permission}: true here or false there",
                 )
--- a/hibiscusstep/configuration/options.py
+++ b/hibiscusstep/configuration/options.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.configuration.options: every option of a model, as a table."""
+"""hibiscusstep.configuration.options: Markdown tables of the options of the models."""
 
 import types
 import typing
@@ -9,7 +9,7 @@
 from pydantic_core import PydanticUndefined
 
 from hibiscusstep.configuration.models import (
-    Claims,
+    ClaimSettings,
     Customer,
     Pool,
     Route,
@@ -28,16 +28,16 @@
     "pools.NAME.targets.NAME": Target,
     "routes.NAME": Route,
     "shedding.TIER": SheddingRule,
-    "claims": Claims,
+    "claims": ClaimSettings,
     "Settings of an instance": Settings,
 }
-_NAMES = {str: "text", int: "whole number", float: "number", bool: "true or false"}
+_TYPE_NAMES = {str: "text", int: "whole number", float: "number", bool: "true or false"}
 
 
 def option_rows(model: type[BaseModel]) -> Iterator[str]:
-    """Yield a row of a Markdown table for each option: name, type, default, meaning."""
+    """Yield a Markdown table row for each option: name, type, default, meaning."""
     for name, field in model.model_fields.items():
-        default = _default(field)
+        default = _default_text(field)
         meaning = field.description or ""
         yield f"| `{name}` | {_type_name(field.annotation)} | {default} | {meaning} |"
 
@@ -52,7 +52,7 @@
     return "\n".join(parts)
 
 
-def _default(field: FieldInfo) -> str:
+def _default_text(field: FieldInfo) -> str:
     if field.default is PydanticUndefined:
         return "needed"
     if field.default in ("", None, []):
@@ -63,17 +63,17 @@
 
 
 def _type_name(annotation) -> str:
-    if annotation in _NAMES:
-        return _NAMES[annotation]
-    origin, inner = typing.get_origin(annotation), typing.get_args(annotation)
+    if annotation in _TYPE_NAMES:
+        return _TYPE_NAMES[annotation]
+    origin, arguments = typing.get_origin(annotation), typing.get_args(annotation)
     if origin is typing.Annotated:
-        return _type_name(inner[0])
+        return _type_name(arguments[0])
     if origin is typing.Literal:
-        return " or ".join(map(str, inner))
+        return " or ".join(map(str, arguments))
     if origin is list:
-        return f"list of {_type_name(inner[0])}"
+        return f"list of {_type_name(arguments[0])}"
     if origin is dict:
         return "names to sections"
     if origin in (types.UnionType, typing.Union):
-        return _type_name(inner[0])
+        return _type_name(arguments[0])
     return "section"
--- a/hibiscusstep/configuration/settings.py
+++ b/hibiscusstep/configuration/settings.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.configuration.settings: what one process is told at its start."""
+"""hibiscusstep.configuration.settings: the settings of one process."""
 
 from pathlib import Path
 from typing import Annotated, Literal
@@ -10,25 +10,27 @@
 
 __all__ = ["Settings", "load_settings"]
 
-Listen = Annotated[str, Field(pattern=r"^[0-9A-Fa-f.:\[\]]+:\d{1,5}$")]
+ListenAddress = Annotated[str, Field(pattern=r"^[0-9A-Fa-f.:\[\]]+:\d{1,5}$")]
 
 
 class Settings(BaseModel):
-    """Settings of one instance; merged from its folder of files."""
+    """Settings of one instance, merged from the files of its folder."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
     name: str = Field(pattern=r"^[a-z0-9][a-z0-9._-]{0,62}$", description="Instance.")
     data_centre: str = Field(description="Data centre where the instance runs.")
     region: str = Field("default", description="Its data centres work together.")
-    caller_address: Listen = Field(description="Where callers connect.")
-    operator_address: Listen = Field(description="Metrics, health, status, explain.")
-    peer_address: Listen = Field(description="Where other instances connect.")
+    caller_address: ListenAddress = Field(description="Where callers connect.")
+    operator_address: ListenAddress = Field(
+        description="Metrics, health, status, explain."
+    )
+    peer_address: ListenAddress = Field(description="Where other instances connect.")
     platform: str = Field(description="URL of the platform's object service.")
     platform_dialect: str = Field("http", description="Dialect of the platform.")
     peer_key: str = Field(min_length=16, description="Secret shared by the instances.")
     operator_key: str = Field(min_length=16, description="Secret of the operators.")
-    seeds: list[Listen] = Field(
+    seeds: list[ListenAddress] = Field(
         [], description="Peer addresses asked where the platform is away."
     )
     log_style: Literal["auto", "human", "json"] = Field("auto", description="Log form.")
--- a/hibiscusstep/configuration/stored.py
+++ b/hibiscusstep/configuration/stored.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.configuration.stored: the one object that holds the configuration."""
+"""hibiscusstep.configuration.stored: the stored object with the configuration."""
 
 import orjson
 from pydantic import BaseModel, ConfigDict, ValidationError
@@ -12,16 +12,18 @@
 
 
 class Stored(BaseModel):
-    """What operators wrote, file by file, so that a change is atomic.
+    """All configuration files in one object, so that a change is atomic.
 
     Parameters
     ----------
     files : dict of str to str
-        File name to text.
+        Texts by file name.
     drained : list of str
-        Targets that take no new work.
-    change, author, changed : str
-        Id of the last change, who made it, and the author by file.
+        Names of the targets that get no new work.
+    change, author : str
+        Id and author of the last change.
+    changed : dict of str to str
+        Author of the last change by file name.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -34,12 +36,12 @@
 
     @classmethod
     def parse(cls, value: bytes) -> "Stored":
-        """Return the object that bytes hold.
+        """Return the object that is encoded in bytes.
 
         Raises
         ------
         ConfigurationError
-            If they hold none.
+            If the bytes are not such an object.
         """
         try:
             return cls.model_validate_json(value)
@@ -48,19 +50,19 @@
             raise ConfigurationError(detail, file=CONFIGURATION_KEY) from None
 
     def to_bytes(self) -> bytes:
-        """Return the object as bytes."""
+        """Return the object encoded as bytes."""
         return orjson.dumps(self.model_dump(), option=orjson.OPT_SORT_KEYS)
 
     def load(self) -> Configuration:
-        """Return the checked configuration, with the drained targets marked."""
+        """Return the validated configuration with the drained targets marked."""
         texts = dict(self.files)
         configuration, _merged = load_configuration(texts)
-        marks = {
+        overlay = {
             pool_name: {"targets": {name: {"drained": True} for name in names}}
             for pool_name, pool in configuration.pools.items()
             if (names := [name for name in pool.targets if name in self.drained])
         }
-        if not marks:
+        if not overlay:
             return configuration
-        texts["~drained.json"] = orjson.dumps({"pools": marks}).decode()
+        texts["~drained.json"] = orjson.dumps({"pools": overlay}).decode()
         return load_configuration(texts)[0]
--- a/tests/test_configuration_spread.py
+++ b/tests/test_configuration_spread.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force everywhere within seconds, for good."""
+"""An accepted configuration is in force on all instances within seconds."""
 
 import asyncio
 
@@ -8,16 +8,16 @@
 from hibiscusstep.events import EventKind
 
 
-def versions(cluster):
+def versions_in_force(cluster):
     return {entry.in_force.version for entry in cluster._live()}
 
 
-class TestSpread:
-    async def test_reaches_all_with_few_watches(self, tmp_path):
+class TestDistribution:
+    async def test_it_reaches_all_instances_with_few_watches(self, tmp_path):
         async with Cluster(tmp_path, instances=6) as cluster:
             before = cluster.platform.calls["watch"]
             version = await cluster.apply(configuration(cluster.targets, deadline=7))
-            await until(lambda: versions(cluster) == {version})
+            await until(lambda: versions_in_force(cluster) == {version})
             waiting = sum(
                 entry._keeper._watch is not None and not entry._keeper._watch.done()
                 for entry in cluster._live()
@@ -26,19 +26,21 @@
             assert cluster.platform.calls["watch"] - before <= 8
             cluster.check()
 
-    async def test_a_restart_in_an_outage_takes_the_peers_version(self, tmp_path):
+    async def test_a_restart_in_an_outage_gets_the_version_of_a_peer(self, tmp_path):
         async with Cluster(tmp_path) as cluster:
             version = await cluster.apply(configuration(cluster.targets, deadline=7))
-            await until(lambda: versions(cluster) == {version})
+            await until(lambda: versions_in_force(cluster) == {version})
             cluster.platform.faults.down = True
             await cluster.kill("e0")
             await cluster.start("e0")
             assert not cluster.entries["e0"].ready
-            await until(lambda: versions(cluster) == {version})
+            await until(lambda: versions_in_force(cluster) == {version})
             assert (await cluster.call("e0", "/read")).outcome == "whole"
             cluster.check()
 
-    async def test_one_cut_off_hears_it_later_and_never_goes_back(self, tmp_path):
+    async def test_a_partitioned_instance_gets_it_later_and_never_goes_back(
+        self, tmp_path
+    ):
         async with Cluster(tmp_path, instances=4) as cluster:
             cluster.cut(["e0"], ["e1", "e2", "e3"])
             newest = 0
@@ -46,19 +48,21 @@
                 files = configuration(cluster.targets, deadline=deadline)
                 newest = await cluster.apply(files)
             cluster.heal()
-            await until(lambda: versions(cluster) == {newest})
+            await until(lambda: versions_in_force(cluster) == {newest})
             cluster.check()
 
-    async def test_an_unreadable_one_is_refused_and_the_old_stays(self, tmp_path):
+    async def test_an_invalid_one_is_rejected_and_the_old_stays_in_force(
+        self, tmp_path
+    ):
         async with Cluster(tmp_path) as cluster:
-            before = versions(cluster)
+            before = versions_in_force(cluster)
             await cluster.apply({"bad.json": '{"tiers": 7}'})
             keepers = [entry._keeper for entry in cluster._live()]
             await until(lambda: sum(bool(k._rejected) for k in keepers) == 2)
-            assert versions(cluster) == before
+            assert versions_in_force(cluster) == before
             assert (await cluster.call("e0", "/read")).outcome == "whole"
 
-    async def test_without_any_an_instance_is_not_ready(self, tmp_path):
+    async def test_without_a_configuration_an_instance_is_not_ready(self, tmp_path):
         async with Cluster(tmp_path, instances=1) as cluster:
             cluster.platform.faults.down = True
             await cluster.kill("e0")
@@ -68,7 +72,7 @@
             cluster.platform.faults.down = False
             await until(lambda: cluster.entries["e0"].ready)
 
-    async def test_it_is_recorded(self, tmp_path):
+    async def test_the_change_is_recorded(self, tmp_path):
         async with Cluster(tmp_path) as cluster:
             events = cluster.events(EventKind.CONFIGURATION_IN_FORCE)
             assert len({event.instance for event in events}) == 3
@@ -82,18 +86,18 @@
         assert marks == {"service-0": False, "service-1": True}
 
 
-class TestShards:
-    async def test_a_change_that_would_forget_keys_is_refused(self, tmp_path):
+class TestClaimShards:
+    async def test_a_change_of_the_number_of_claim_shards_is_rejected(self, tmp_path):
         async with Cluster(tmp_path) as cluster:
-            before = versions(cluster)
+            before = versions_in_force(cluster)
             await cluster.apply(configuration(cluster.targets, shards=3))
             keepers = [entry._keeper for entry in cluster._live()]
             await until(lambda: sum(bool(k._rejected) for k in keepers) == 2)
-            assert versions(cluster) == before
+            assert versions_in_force(cluster) == before
 
 
-class TestRace:
-    async def test_versions_only_go_up_under_many_writers(self, tmp_path):
+class TestConcurrentChanges:
+    async def test_versions_never_decrease_with_concurrent_writers(self, tmp_path):
         async with Cluster(tmp_path) as cluster:
 
             async def write(deadline):
@@ -105,5 +109,5 @@
                         await asyncio.sleep(0.01)
 
             written = await asyncio.gather(*(write(n) for n in range(2, 8)))
-            await until(lambda: versions(cluster) == {max(written)})
+            await until(lambda: versions_in_force(cluster) == {max(written)})
             cluster.check()
--- a/tests/test_folder.py
+++ b/tests/test_folder.py
@@ -5,7 +5,7 @@
 
 
 class TestMerge:
-    def test_comments_and_order_of_names(self):
+    def test_comments_are_allowed_and_later_files_win(self):
         merged = merge(
             {"b.json": '{"x": {"k": 2}}', "a.json": '{/* c */ "x": {"k": 1}}'}
         )
@@ -16,7 +16,7 @@
     @pytest.mark.parametrize(
         "text", ['{"a": 1, "a": 2}', "[1]", "{", '{"a": }', "", "{" * 5000]
     )
-    def test_bad_text_names_the_file(self, text):
-        with pytest.raises(ConfigurationError) as caught:
+    def test_an_error_names_the_invalid_file(self, text):
+        with pytest.raises(ConfigurationError) as error_info:
             merge({"bad.json": text})
-        assert str(caught.value).startswith("bad.json: ")
+        assert str(error_info.value).startswith("bad.json: ")
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -16,15 +16,15 @@
 TARGET = '{"address": "127.0.0.1:1", "data_centre": "hall"}'
 
 
-def refused(**files):
-    with pytest.raises(ConfigurationError) as caught:
+def load_error(**files):
+    with pytest.raises(ConfigurationError) as error_info:
         load_configuration({f"{name}.json": text for name, text in files.items()})
-    return caught.value
+    return error_info.value
 
 
 class TestExamples:
     @pytest.mark.parametrize("name", ["hanul", "bertolini"])
-    def test_are_good(self, name):
+    def test_are_valid(self, name):
         configuration, merged = load_configuration(
             read_folder(EXAMPLES / name / "conf.d")
         )
@@ -32,55 +32,57 @@
         assert merged.overrides == ()
 
 
-class TestRefusals:
+class TestErrors:
     def test_unknown_key(self):
-        error = refused(a=TIERS, b='{"tiers": {"low": {"rnak": 1}}}')
+        error = load_error(a=TIERS, b='{"tiers": {"low": {"rnak": 1}}}')
         assert (error.file, error.key) == ("b.json", "tiers.low.rnak")
 
-    def test_the_same_rank(self):
-        error = refused(a='{"tiers": {"x": {"rank": 0}, "y": {"rank": 0}}}')
+    def test_duplicate_rank(self):
+        error = load_error(a='{"tiers": {"x": {"rank": 0}, "y": {"rank": 0}}}')
         assert error.key == "tiers.y.rank" and "tiers.x.rank" in error.detail
 
-    def test_the_same_key_of_two_customers(self):
+    def test_duplicate_key_of_two_customers(self):
         customers = {n: {"key_hashes": [HASH], "tier": "low"} for n in "ab"}
-        error = refused(a=TIERS, b=json.dumps({"customers": customers}))
+        error = load_error(a=TIERS, b=json.dumps({"customers": customers}))
         assert error.key == "customers.b.key_hashes.0"
 
-    def test_the_same_address(self):
+    def test_duplicate_address(self):
         two = (
             f'{{"pools": {{"q": {{"kind": "engine", "targets": {{"u": {TARGET}}}}}}}}}'
         )
-        error = refused(a=TIERS, b=POOL % TARGET, c=two)
+        error = load_error(a=TIERS, b=POOL % TARGET, c=two)
         assert (error.file, error.key) == ("c.json", "pools.q.targets.u.address")
 
     def test_dangling_pool(self):
         route = {"pool": "none", "model": "m", "idempotent": True}
-        error = refused(a=TIERS, b=json.dumps({"routes": {"r": route}}))
+        error = load_error(a=TIERS, b=json.dumps({"routes": {"r": route}}))
         assert (error.file, error.key) == ("b.json", "routes.r.pool")
 
     def test_service_route_on_an_engine_pool(self):
         route = {"pool": "p", "path": "/x/", "idempotent": True}
-        error = refused(
+        error = load_error(
             a=TIERS, b=POOL % TARGET, c=json.dumps({"routes": {"r": route}})
         )
         assert error.key == "routes.r"
 
     def test_higher_tier_shed_before_a_lower_one(self):
-        error = refused(a=TIERS, b='{"shedding": {"low": {"may_be_shed": false}}}')
+        error = load_error(a=TIERS, b='{"shedding": {"low": {"may_be_shed": false}}}')
         assert (error.file, error.key) == ("b.json", "shedding.low.may_be_shed")
 
     def test_higher_tier_stopped_before_a_lower_one(self):
-        error = refused(a=TIERS, b='{"shedding": {"high": {"may_be_stopped": true}}}')
+        error = load_error(
+            a=TIERS, b='{"shedding": {"high": {"may_be_stopped": true}}}'
+        )
         assert error.key == "shedding.low.may_be_stopped"
 
     def test_unknown_policy_lists_the_choices(self):
         pool = json.loads(POOL % TARGET)
         pool["pools"]["p"]["policy"] = "magic"
-        assert "expected-work" in refused(a=TIERS, b=json.dumps(pool)).detail
+        assert "expected-work" in load_error(a=TIERS, b=json.dumps(pool)).detail
 
     def test_key_none_needs_idempotent(self):
         route = {"pool": "p", "model": "m", "idempotent": False, "key": "none"}
-        error = refused(
+        error = load_error(
             a=TIERS, b=POOL % TARGET, c=json.dumps({"routes": {"r": route}})
         )
         assert "idempotent" in error.detail
@@ -88,20 +90,20 @@
     @given(
         st.recursive(
             st.none() | st.booleans() | st.floats() | st.text(max_size=8),
-            lambda inner: (
-                st.lists(inner, max_size=3)
+            lambda children: (
+                st.lists(children, max_size=3)
                 | st.dictionaries(
                     st.sampled_from(
                         ["tiers", "customers", "pools", "routes", "rank", "x"]
                     ),
-                    inner,
+                    children,
                     max_size=3,
                 )
             ),
             max_leaves=12,
         )
     )
-    def test_anything_gives_one_typed_error(self, tree):
+    def test_any_input_is_valid_or_raises_a_typed_error(self, tree):
         try:
             load_configuration({"fuzz.json": json.dumps(tree)})
         except ConfigurationError as error:
