--- a/hibiscusstep/configuration/change.py
+++ b/hibiscusstep/configuration/change.py
@@ -109,7 +109,7 @@
     raise found.unwrap_err()
 
 
-def file_changes(files: dict[str, str], stored: Stored, base: Base) -> dict:
+def file_changes(folder_files: dict[str, str], stored: Stored, base: Base) -> dict:
     """Return the files changed since the base: name to text, None if removed.
 
     Raises
@@ -119,9 +119,9 @@
     """
     base_digests = base.digests or {}
     stored_digests = {name: _digest(text) for name, text in stored.files.items()}
-    digests = {name: _digest(text) for name, text in files.items()}
+    digests = {name: _digest(text) for name, text in folder_files.items()}
     changed = {
-        name: files.get(name)
+        name: folder_files.get(name)
         for name in sorted(digests.keys() | base_digests.keys())
         if digests.get(name) != base_digests.get(name)
     }
--- a/hibiscusstep/stores/__init__.py
+++ b/hibiscusstep/stores/__init__.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.stores: dialects of the platform's object service."""
+"""hibiscusstep.stores: clients of the platform's object service, by dialect."""
 
 from hibiscusstep.registry import Registry
 from hibiscusstep.stores.http import HttpPlatform
--- a/hibiscusstep/stores/http.py
+++ b/hibiscusstep/stores/http.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.stores.http: the object service over HTTP with entity tags."""
+"""hibiscusstep.stores.http: client of the object service over HTTP with entity tags."""
 
 from urllib.parse import quote
 
@@ -21,14 +21,14 @@
 
 
 class HttpPlatform(Platform):
-    """``GET``, conditional ``PUT`` by entity tags, ``DELETE``, long-poll watch.
+    """Client with ``GET``, conditional ``PUT``, ``DELETE`` and long polling.
 
     Parameters
     ----------
     url : str
-        Base address of the service.
+        Base URL of the service.
     timeout : float
-        Seconds a call may take.
+        Timeout of a call in seconds.
     """
 
     name = "http"
@@ -40,24 +40,24 @@
 
     async def get(self, key: str) -> Result[Versioned, PlatformError]:
         """Return the object."""
-        answer = await self._call("GET", self._object(key), step="get")
+        answer = await self._call("GET", self._object_url(key), step="get")
         return answer.map(lambda reply: Versioned(key, reply.version, reply.body))
 
     async def put(
         self, key: str, value: bytes, expected: int
     ) -> Result[int, PlatformError]:
-        """Write if the version is `expected` (0: if it does not exist)."""
+        """Write the object if its version is `expected` (0: if it does not exist)."""
         condition = (
             {"If-Match": f'"{expected}"'} if expected else {"If-None-Match": "*"}
         )
         answer = await self._call(
-            "PUT", self._object(key), step="put", data=value, headers=condition
+            "PUT", self._object_url(key), step="put", data=value, headers=condition
         )
         return answer.map(lambda reply: reply.version)
 
     async def delete(self, key: str) -> Result[None, PlatformError]:
         """Delete the object."""
-        answer = await self._call("DELETE", self._object(key), step="delete")
+        answer = await self._call("DELETE", self._object_url(key), step="delete")
         if answer.is_err() and isinstance(answer.unwrap_err(), PlatformNotFound):
             return Ok(None)
         return answer.map(lambda _reply: None)
@@ -65,10 +65,10 @@
     async def watch(
         self, key: str, after: int, timeout: float
     ) -> Result[Versioned | None, PlatformError]:
-        """Wait until the version is above `after`."""
+        """Return the object once its version is above `after`; None after `timeout`."""
         url = f"{self._url}/watch/{quote(key)}?after={after}&timeout={timeout}"
         answer = await self._call(
-            "GET", url, step="watch", extra=timeout + WATCH_GRACE_S
+            "GET", url, step="watch", extra_s=timeout + WATCH_GRACE_S
         )
         return answer.map(
             lambda reply: (
@@ -79,7 +79,7 @@
         )
 
     async def instances(self) -> Result[list[InstanceRecord], PlatformError]:
-        """Return the lagging list of instances."""
+        """Return the list of instances, which lags behind."""
         answer = await self._call("GET", f"{self._url}/instances", step="instances")
         return answer.map(
             lambda reply: [InstanceRecord(**entry) for entry in reply.json()]
@@ -90,13 +90,13 @@
         if self._session:
             await self._session.close()
 
-    def _object(self, key: str) -> str:
+    def _object_url(self, key: str) -> str:
         return f"{self._url}/objects/{quote(key)}"
 
-    async def _call(self, method, url, *, step, extra=0.0, **options):
+    async def _call(self, method, url, *, step, extra_s=0.0, **options):
         if self._session is None:
             self._session = aiohttp.ClientSession()
-        timeout = aiohttp.ClientTimeout(total=self._timeout + extra)
+        timeout = aiohttp.ClientTimeout(total=self._timeout + extra_s)
         try:
             async with self._session.request(
                 method, url, timeout=timeout, **options
@@ -105,7 +105,7 @@
         except (TimeoutError, aiohttp.ClientError, OSError) as cause:
             detail = f"no answer: {type(cause).__name__}"
             return Err(PlatformUnavailable(detail, step=step, peer="platform"))
-        return reply.judged(step)
+        return reply.to_result(step)
 
 
 class _Reply:
@@ -117,9 +117,13 @@
     def json(self):
         return orjson.loads(self.body)
 
-    def judged(self, step: str) -> "Result[_Reply, PlatformError]":
+    def to_result(self, step: str) -> "Result[_Reply, PlatformError]":
         if self.status in (200, 201, 204):
             return Ok(self)
-        kinds = {404: PlatformNotFound, 412: PlatformConflict, 409: PlatformConflict}
-        kind = kinds.get(self.status, PlatformUnavailable)
-        return Err(kind(f"status {self.status}", step=step, peer="platform"))
+        error_types = {
+            404: PlatformNotFound,
+            412: PlatformConflict,
+            409: PlatformConflict,
+        }
+        error_type = error_types.get(self.status, PlatformUnavailable)
+        return Err(error_type(f"status {self.status}", step=step, peer="platform"))
--- a/hibiscusstep/stores/memory.py
+++ b/hibiscusstep/stores/memory.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.stores.memory: the object service in memory, with faults."""
+"""hibiscusstep.stores.memory: in-memory object service with fault injection."""
 
 import asyncio
 from collections import Counter
@@ -22,16 +22,16 @@
 
 @dataclass
 class Faults:
-    """What goes wrong, set by tests and by the stand-in's control calls.
+    """Injected faults, set by tests and by the stand-in's control calls.
 
     Parameters
     ----------
     down : bool
-        No call takes effect or gets an answer.
+        Whether calls fail without taking effect.
     delay : float
         Seconds added before each call takes effect.
     lose_answers : int
-        So many of the next writes take effect while their answer is lost.
+        Number of the next writes that take effect while their answer is lost.
     """
 
     down: bool = False
@@ -40,21 +40,21 @@
 
 
 class MemoryPlatform(Platform):
-    """Objects in a dictionary; serves tests and the stand-in process.
+    """Object service in a dictionary, for tests and the stand-in process.
 
     Parameters
     ----------
     url : str
-        Unused; the dialects share one signature.
+        Unused; all dialects have the same signature.
 
     Attributes
     ----------
     faults : Faults
-        What goes wrong from now on.
+        Injected faults.
     calls : collections.Counter
-        Calls by kind.
+        Number of calls by kind.
     observer : callable of (str, str) or None
-        Told kind and key of each call before it takes effect.
+        Called with kind and key of each call before it takes effect.
     """
 
     name = "memory"
@@ -66,7 +66,7 @@
         self.observer: Callable[[str, str], None] | None = None
         self._objects: dict[str, Versioned] = {}
         self._last_version = 0
-        self._changed = asyncio.Condition()
+        self._object_changed = asyncio.Condition()
 
     async def get(self, key: str) -> Result[Versioned, PlatformError]:
         """Return the object."""
@@ -75,28 +75,28 @@
     async def put(
         self, key: str, value: bytes, expected: int
     ) -> Result[int, PlatformError]:
-        """Write if the version is `expected` (0: if it does not exist)."""
+        """Write the object if its version is `expected` (0: if it does not exist)."""
         answer = await self._call("put", key, lambda: self._write(key, value, expected))
         if answer.is_ok():
-            async with self._changed:
-                self._changed.notify_all()
-        return self._maybe_lost(answer, "put")
+            async with self._object_changed:
+                self._object_changed.notify_all()
+        return self._lose_answer_if_set(answer, "put")
 
     async def delete(self, key: str) -> Result[None, PlatformError]:
         """Delete the object."""
         answer = await self._call("delete", key, lambda: self._remove(key))
-        return self._maybe_lost(answer, "delete")
+        return self._lose_answer_if_set(answer, "delete")
 
     async def watch(
         self, key: str, after: int, timeout: float
     ) -> Result[Versioned | None, PlatformError]:
-        """Wait until the version is above `after`."""
-        begun = await self._call("watch", key, lambda: Ok(None))
-        if begun.is_err():
-            return begun
+        """Return the object once its version is above `after`; None after `timeout`."""
+        accepted = await self._call("watch", key, lambda: Ok(None))
+        if accepted.is_err():
+            return accepted
         try:
-            async with asyncio.timeout(timeout), self._changed:
-                await self._changed.wait_for(
+            async with asyncio.timeout(timeout), self._object_changed:
+                await self._object_changed.wait_for(
                     lambda: key in self._objects and self._objects[key].version > after
                 )
         except TimeoutError:
@@ -107,16 +107,16 @@
         """Return the list of instances."""
         return await self._call("instances", "", lambda: Ok(list(self.records)))
 
-    async def _call(self, step, key, effect):
+    async def _call(self, step, key, operation):
         self.calls[step] += 1
         if self.observer:
             self.observer(step, key)
         await asyncio.sleep(self.faults.delay)
         if self.faults.down:
             return Err(PlatformUnavailable("outage", step=step, peer="platform"))
-        return effect()
+        return operation()
 
-    def _maybe_lost(self, answer, step):
+    def _lose_answer_if_set(self, answer, step):
         if answer.is_ok() and self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
             return Err(PlatformUnavailable("answer lost", step=step, peer="platform"))
--- a/hibiscusstep/targets/__init__.py
+++ b/hibiscusstep/targets/__init__.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.targets: dialects of targets, one a file."""
+"""hibiscusstep.targets: clients of the target kinds, one module per kind."""
 
 from hibiscusstep.registry import Registry
 from hibiscusstep.targets.engine import EngineTarget
--- a/hibiscusstep/targets/engine.py
+++ b/hibiscusstep/targets/engine.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.targets.engine: model engines with chat completions over HTTP."""
+"""hibiscusstep.targets.engine: client of model engines, chat completions over HTTP."""
 
 import asyncio
 import logging
@@ -21,24 +21,24 @@
 RESUME_ATTEMPTS = 3
 RESUME_PAUSE_S = 0.1
 CANCEL_TIMEOUT_S = 1.0
-_COMPUTED = re.compile(rb'"prompt_tokens_computed":\s*(\d+)')
+_COMPUTED_TOKENS = re.compile(rb'"prompt_tokens_computed":\s*(\d+)')
 
 
 class EngineTarget(HttpTarget):
-    """An engine that streams, resumes and cancels by request id."""
+    """A model engine that can stream, resume and cancel requests by their id."""
 
     name = "engine"
 
     async def send(self, order: Order) -> Result[Answer, TargetError]:
-        """Send an order, once."""
+        """Send an order once."""
         sent = await self.send_once(order)
-        kind = StreamedAnswer if order.stream else EngineAnswer
-        return sent.map(lambda response: kind(response, self, order))
+        answer_type = StreamedAnswer if order.stream else EngineAnswer
+        return sent.map(lambda response: answer_type(response, self, order))
 
     async def resume(self, attempt: str, after: int) -> aiohttp.ClientResponse:
-        """Return the rest of a cut stream, from event number `after`."""
+        """Return the rest of an interrupted stream, after event number `after`."""
         url = f"http://{self._address}/v1/requests/{attempt}?after={after}"
-        response = await self._sessions.shared.get(
+        response = await self._sessions.reused.get(
             url, timeout=aiohttp.ClientTimeout(total=None, sock_connect=1.0)
         )
         if response.status != 200:
@@ -47,34 +47,34 @@
         return response
 
     async def cancel(self, attempt: str) -> None:
-        """Stop the work on a request; an engine that is away has stopped anyway."""
+        """Cancel a request; an unreachable engine is assumed to have stopped."""
         url = f"http://{self._address}/v1/requests/{attempt}"
         timeout = aiohttp.ClientTimeout(total=CANCEL_TIMEOUT_S)
         try:
-            async with self._sessions.shared.delete(url, timeout=timeout):
+            async with self._sessions.reused.delete(url, timeout=timeout):
                 pass
         except (aiohttp.ClientError, OSError, TimeoutError) as cause:
             _LOG.info(
-                "cancel not heard", extra={"attempt": attempt, "error": str(cause)}
+                "cancel request failed", extra={"attempt": attempt, "error": str(cause)}
             )
 
 
 class EngineAnswer(ServiceAnswer):
-    """A whole JSON completion."""
+    """A completion as one JSON document."""
 
     def __init__(self, response, target: EngineTarget, order: Order) -> None:
         super().__init__(response, target)
         self._attempt = order.attempt
 
     async def chunks(self):
-        """Yield the one body once it is whole and is JSON."""
+        """Yield the whole body once it is complete and checked to be JSON."""
         body = b"".join([chunk async for chunk in super().chunks()])
         if self.status == 200:
             self._read_usage(body)
         yield body
 
     async def cancel(self) -> None:
-        """Stop the engine's work."""
+        """Close the connection and cancel the request on the engine."""
         self.close()
         await self._target.cancel(self._attempt)
 
@@ -90,63 +90,63 @@
 
 
 class StreamedAnswer(EngineAnswer):
-    """Server-sent events, untouched; a cut stream is resumed on its engine."""
+    """Unmodified server-sent events; an interrupted stream is resumed on its engine."""
 
     def __init__(self, response, target: EngineTarget, order: Order) -> None:
         super().__init__(response, target, order)
-        self._tail = b""
-        self._complete = False
+        self._partial_event = b""
+        self._end_seen = False
 
     async def chunks(self):
-        """Yield whole events until the end mark."""
+        """Yield complete events until the end mark."""
         if self.status != 200:
             async for chunk in ServiceAnswer.chunks(self):
                 yield chunk
             return
         for attempts_left in reversed(range(RESUME_ATTEMPTS + 1)):
             try:
-                async for events in self._events():
+                async for events in self._read_events():
                     yield events
-                if self._complete:
+                if self._end_seen:
                     return
                 raise aiohttp.ClientPayloadError("ended without its end mark")
             except (aiohttp.ClientError, OSError, TimeoutError) as cause:
-                if not await self._resumed(attempts_left, cause):
+                if not await self._try_resume(attempts_left, cause):
                     raise self._target.error(cause, step="read", sent=True) from None
 
-    async def _events(self):
+    async def _read_events(self):
         content = self._response.content
         while chunk := await content.readany():
-            data = self._tail + chunk if self._tail else chunk
+            data = self._partial_event + chunk if self._partial_event else chunk
             end = data.rfind(EVENT_END) + len(EVENT_END)
             if end < len(EVENT_END):
-                self._tail = data
+                self._partial_event = data
                 continue
-            self._tail = data[end:]
+            self._partial_event = data[end:]
             events = data if end == len(data) else data[:end]
-            self._count(events)
+            self._count_tokens(events)
             yield events
 
-    def _count(self, events: bytes) -> None:
+    def _count_tokens(self, events: bytes) -> None:
         if events.endswith(END_MARK):
-            self._complete = True
-            found = _COMPUTED.search(events[-400:])
+            self._end_seen = True
+            found = _COMPUTED_TOKENS.search(events[-400:])
             self.computed = int(found.group(1)) if found else -1
             self.tokens += events.count(EVENT_END) - 2
         else:
             self.tokens += events.count(EVENT_END)
 
-    async def _resumed(self, attempts_left: int, cause: Exception) -> bool:
+    async def _try_resume(self, attempts_left: int, cause: Exception) -> bool:
         if not attempts_left:
             return False
         self._response.close()
-        self._tail = b""
+        self._partial_event = b""
         await asyncio.sleep(RESUME_PAUSE_S)
         try:
             self._response = await self._target.resume(self._attempt, self.tokens)
         except (aiohttp.ClientError, OSError, TimeoutError) as failure:
             _LOG.info(
-                "not resumed",
+                "stream not resumed",
                 extra={
                     "attempt": self._attempt,
                     "cut": str(cause),
--- a/hibiscusstep/targets/http.py
+++ b/hibiscusstep/targets/http.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.targets.http: what targets spoken to over HTTP have in common."""
+"""hibiscusstep.targets.http: common parts of the clients of HTTP targets."""
 
 import aiohttp
 from result import Err, Ok, Result
@@ -20,21 +20,22 @@
 
     Attributes
     ----------
-    shared : aiohttp.ClientSession
-        Reuses connections; for what may run twice, and for load reports.
-    fresh : aiohttp.ClientSession
-        A connection for each order, for what may not: a reused one may turn out
-        closed after the order has left, and then the outcome would be unknown.
+    reused : aiohttp.ClientSession
+        Reuses connections; for idempotent orders and load reports.
+    unshared : aiohttp.ClientSession
+        Opens a connection for each order, for orders that are not idempotent: a reused
+        connection may turn out to be closed after the order was sent, and the outcome
+        would be unknown.
     """
 
     def __init__(self) -> None:
-        self.shared = _make_session(force_close=False, keepalive_timeout=KEEP_ALIVE_S)
-        self.fresh = _make_session(force_close=True)
+        self.reused = _make_session(force_close=False, keepalive_timeout=KEEP_ALIVE_S)
+        self.unshared = _make_session(force_close=True)
 
     async def close(self) -> None:
         """Close all connections."""
-        await self.shared.close()
-        await self.fresh.close()
+        await self.reused.close()
+        await self.unshared.close()
 
 
 def _make_session(**options) -> aiohttp.ClientSession:
@@ -43,21 +44,21 @@
         read_bufsize=READ_BUFFER_BYTES,
         auto_decompress=False,
     )
-    # The library repeats GET, PUT and DELETE after a broken connection; what they
-    # mean here is not known to be idempotent. It has no public switch.
+    # The library repeats GET, PUT and DELETE after a broken connection, but they may
+    # not be idempotent on a target. There is no public option to turn this off.
     session._retry_connection = False
     return session
 
 
 class HttpTarget(Target):
-    """Sends an order over HTTP exactly once and reads ``GET /load``."""
+    """Target that gets each order over HTTP at most once and reports ``GET /load``."""
 
     async def send_once(self, order: Order) -> Result:
-        """Return the response when its head has come."""
+        """Send an order and return the response once its head has arrived."""
         timeout = aiohttp.ClientTimeout(
             total=order.timeout, sock_connect=CONNECT_TIMEOUT_S
         )
-        session = self._sessions.shared if order.idempotent else self._sessions.fresh
+        session = self._sessions.reused if order.idempotent else self._sessions.unshared
         try:
             response = await session.request(
                 order.method,
@@ -81,10 +82,10 @@
         return Ok(response)
 
     async def report(self) -> LoadReport:
-        """Return what the target says of its load."""
+        """Return the load that the target reports."""
         timeout = aiohttp.ClientTimeout(total=REPORT_TIMEOUT_S)
         try:
-            async with self._sessions.shared.get(
+            async with self._sessions.reused.get(
                 f"http://{self._address}/load", timeout=timeout
             ) as response:
                 load = await response.json()
@@ -98,7 +99,7 @@
             return LoadReport(self._name, 0, 0, False, reachable=False)
 
     def error(self, cause: Exception, *, step: str, sent: bool) -> TargetError:
-        """Return the typed error of a library's error."""
+        """Return the `TargetError` for an error of the HTTP library."""
         detail = f"{type(cause).__name__}: {cause}".rstrip(": ")
         return TargetError(detail, step=step, peer=self._name, sent=sent)
 
--- a/hibiscusstep/targets/service.py
+++ b/hibiscusstep/targets/service.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.targets.service: plain services, passed through."""
+"""hibiscusstep.targets.service: client of plain services, passed through unmodified."""
 
 import aiohttp
 from result import Result
@@ -11,7 +11,7 @@
 
 
 class ServiceAnswer(Answer):
-    """A response whose framing (length or last chunk) is its end mark."""
+    """A response whose end is detected by its framing (length or last chunk)."""
 
     def __init__(self, response: aiohttp.ClientResponse, target: HttpTarget) -> None:
         self._response = response
@@ -22,7 +22,7 @@
         )
 
     async def chunks(self):
-        """Yield the body; the library checks its framing."""
+        """Yield the body; the HTTP library checks its framing."""
         try:
             async for chunk in self._response.content.iter_chunked(READ_BUFFER_BYTES):
                 yield chunk
@@ -30,11 +30,11 @@
             raise self._target.error(cause, step="read", sent=True) from None
 
     async def cancel(self) -> None:
-        """Close the connection; a plain service knows no other way."""
+        """Close the connection; a plain service has no other way to cancel."""
         self.close()
 
     def close(self) -> None:
-        """Give back the connection, closed unless the body was read to its end."""
+        """Release the connection if the body was read to its end; else close it."""
         if self._response.content.at_eof():
             self._response.release()
         else:
@@ -47,6 +47,6 @@
     name = "service"
 
     async def send(self, order: Order) -> Result[Answer, TargetError]:
-        """Send an order, once."""
+        """Send an order once."""
         sent = await self.send_once(order)
         return sent.map(lambda response: ServiceAnswer(response, self))
