--- a/hibiscusstep/membership/tracker.py
+++ b/hibiscusstep/membership/tracker.py
@@ -32,6 +32,7 @@
         self._name = name
         self._suspect_after = suspect_after
         self._tracked: dict[str, _TrackedMember] = {}
+        # Time of removal of members without heartbeats, which may be alive.
         self._silent_since: dict[str, float] = {}
         self._name_by_incarnation: dict[str, str] = {}
         # Time until which messages of an incarnation are ignored, as it is dead.
@@ -57,7 +58,10 @@
         return now < self._ignored_until.get(incarnation, -math.inf)
 
     def record_beat(self, incarnation: str, version: int, now: float) -> bool:
-        """Record a short heartbeat; return whether its sender is known or dead."""
+        """Record a short heartbeat; return False if its sender must be greeted.
+
+        Senders that are members or taken for dead are not greeted.
+        """
         tracked = self._tracked.get(self._name_by_incarnation.get(incarnation, ""))
         if tracked is None or tracked.member.incarnation != incarnation:
             return self._is_ignored(incarnation, now)
--- a/hibiscusstep/membership/worker.py
+++ b/hibiscusstep/membership/worker.py
@@ -86,6 +86,7 @@
         )
         self._tracker = HeartbeatTracker(settings.name, settings.suspect_after)
         self._listed_addresses: set[str] = set()
+        # Peer addresses named in heartbeats, with the time of the last one.
         self._mentioned_at: dict[str, float] = {}
         self._listed_names: set[str] | None = None
         self._list_reader: asyncio.Task | None = None
@@ -124,7 +125,7 @@
         self._send_beats()
 
     def _handle_beat(self, beat: Beat, now: float) -> bool:
-        """Record a short heartbeat; return whether its sender is known."""
+        """Record a short heartbeat; return False if its sender must be greeted."""
         return self._tracker.record_beat(beat.incarnation, beat.version, now)
 
     def _update_own_state(self, state: OwnState) -> None:
@@ -186,11 +187,11 @@
         view = self._make_view()
         if view == self._view:
             return
-        gone = self._view.members.keys() - view.members.keys()
-        come = view.members.keys() - self._view.members.keys()
-        if gone or come:
+        left = self._view.members.keys() - view.members.keys()
+        joined = view.members.keys() - self._view.members.keys()
+        if left or joined:
             _LOG.info(
-                "members changed", extra={"come": sorted(come), "gone": sorted(gone)}
+                "members changed", extra={"come": sorted(joined), "gone": sorted(left)}
             )
         self._view = view
         self._publish(ViewChanged(view))
