--- a/hibiscusstep/configuration/change.py
+++ b/hibiscusstep/configuration/change.py
@@ -282,7 +282,7 @@
 
 
 def write_folder(folder: Path, version: int, stored: Stored) -> None:
-    """Write the accepted configuration to a folder and remove its other files."""
+    """Write the accepted configuration to a folder and remove other JSON files."""
     folder.mkdir(parents=True, exist_ok=True)
     for path in folder.glob(f"*{FILE_SUFFIX}"):
         if path.name not in stored.files:
--- a/hibiscusstep/membership/grouped.py
+++ b/hibiscusstep/membership/grouped.py
@@ -33,7 +33,7 @@
 # Interval at which followers are sent the list of relays again.
 RELAYS_MESSAGE_TICKS = 40
 # A parent that is silent for this time may be lost; half of the timeout of peers.
-PARENT_TIMEOUT_S = 0.6
+PARENT_SILENT_AFTER_S = 0.6
 # Reading the list takes some milliseconds; after this time, the seeds are contacted.
 FIRST_LIST_TIMEOUT_S = 0.3
 # A starting instance discovers the others gradually. For this time, it takes the size
@@ -279,7 +279,7 @@
             followers=followers,
             parent=parent,
             others=others,
-            attached=self._own.relay or self._parent_is_alive(),
+            attached=self._own.relay or self._parent_responds(),
             settled=self._list_attempted,
             listed=self._listed_at_startup(),
         )
@@ -290,9 +290,9 @@
         age = asyncio.get_running_loop().time() - self._started_at
         return len(self._listed_names or ()) if age < STARTUP_S else 0
 
-    def _parent_is_alive(self) -> bool:
+    def _parent_responds(self) -> bool:
         now = asyncio.get_running_loop().time()
-        return now - self._parent_message_at < PARENT_TIMEOUT_S
+        return now - self._parent_message_at < PARENT_SILENT_AFTER_S
 
     def _count_missing(self, size: int) -> int:
         """Return the number of instances that were seen recently and are not now."""
--- a/tests/test_configuration_spread.py
+++ b/tests/test_configuration_spread.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force on all instances within seconds."""
+"""An accepted configuration is in force on all instances in seconds and stays so."""
 
 import asyncio
 
