--- a/hibiscusstep/desk.py
+++ b/hibiscusstep/desk.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.desk: an instance's requests on their way to a grant."""
+"""hibiscusstep.desk: requests grants for an instance's requests from dispatchers."""
 
 import asyncio
 import itertools
@@ -32,23 +32,23 @@
 __all__ = ["Desk"]
 
 TICK_S = 0.2
-FIRST_STANDBY_S = 0.5
+MIN_STANDBY_S = 0.5
 MAX_STANDBY_S = 4.0
-# A message about the end of a request that got lost costs a slot for so long.
-TELL_HELD_S = 1.5
-DISPATCHER_GRACE_S = 0.5
-# A dispatcher with few instances to tell shows that it lives so often; one with many
-# tells how much longer it takes.
-USUAL_SIGN_S = 0.05
+# The longest time for which a lost `PoolFinished` message keeps a slot occupied.
+HELD_REPORT_INTERVAL_S = 1.5
+DECISION_GRACE_S = 0.5
+# Seconds between the `PoolQueued` messages of a dispatcher with few waiting instances.
+# A dispatcher with many sends them less often and states the interval.
+MIN_KEEPALIVE_INTERVAL_S = 0.05
 UNAVAILABLE_RETRY_S = 2.0
-# A grant that was on its way for longer is not used: its slot may have been taken for
-# lost by the time the request would end. Less than what an instance is given to say
-# that it holds a request (`run_watch.ANSWER_S`).
+# A grant that took longer to arrive is returned unused: the dispatcher may consider it
+# lost before the request ends. Must be less than `run_watch.ANSWER_S`, the time within
+# which an instance must report that it holds a request.
 STALE_GRANT_S = 0.45
 
 
 @dataclass(slots=True, eq=False)
-class _Held:
+class _TrackedRequest:
     question: Question
     wanted: GrantRequest
     received: float
@@ -57,14 +57,15 @@
 
 
 @dataclass(slots=True)
-class _Line:
-    """What the instance holds for one pool, and who dispatches it.
-
-    `heard` is when the dispatcher was last heard, `patience` for how many seconds it
-    may be silent from then on; until `alone_until` the instance dispatches for itself,
-    for `alone_s` seconds the next time. `alone` is whether it last did: who dispatches
-    for all next must hear of what runs, be it the same instance. `told_held` is whether
-    the dispatcher was last told of any running request.
+class _PoolState:
+    """The waiting and running requests of one pool, and its dispatcher.
+
+    `heard` is the time of the dispatcher's last message and `patience` the seconds of
+    silence allowed after it. Until `alone_until` the instance dispatches its own
+    requests; the next such period lasts `alone_s` seconds. `alone` is whether it did so
+    at the last update: the next dispatcher for all instances must receive the running
+    requests, even if it is this instance. `told_held` is whether the last `PoolHeld`
+    listed any running request.
     """
 
     dispatcher: Member | None = None
@@ -72,127 +73,133 @@
     heard: float = 0.0
     patience: float = 0.0
     alone_until: float = 0.0
-    alone_s: float = FIRST_STANDBY_S
-    waiting: dict[str, _Held] = field(default_factory=dict)
-    running: dict[str, _Held] = field(default_factory=dict)
+    alone_s: float = MIN_STANDBY_S
+    waiting: dict[str, _TrackedRequest] = field(default_factory=dict)
+    running: dict[str, _TrackedRequest] = field(default_factory=dict)
     told_held: bool = False
 
 
 class Desk(Worker):
-    """Asks the dispatcher of each pool, and asks again when it changes.
+    """Requests grants from the dispatcher of each pool, again when it changes.
 
     Parameters
     ----------
     name, incarnation, address : str
         Own name, incarnation and peer address.
     links : Worker
-        Sends to peers.
-    local : callable of Received
-        Takes what is meant for the dispatchers of this instance.
+        Sends messages to peers.
+    deliver_local : callable of Received
+        Delivers messages to the dispatchers of this instance.
     standby_after : float
         Seconds of a dispatcher's silence after which this instance dispatches its
-        own requests; 0 if it never does.
+        own requests; 0 disables this.
     """
 
     def __init__(
-        self, name, incarnation, address, links, local, standby_after: float = 0.0
+        self,
+        name,
+        incarnation,
+        address,
+        links,
+        deliver_local,
+        standby_after: float = 0.0,
     ) -> None:
         super().__init__("desk", tick_interval=TICK_S)
-        self._hurry = min(TICK_S, standby_after / 3) if standby_after else TICK_S
+        self._busy_tick_s = min(TICK_S, standby_after / 3) if standby_after else TICK_S
         self._standby_after = standby_after
         self._own_name = name
         self._incarnation = incarnation
         self._address = address
         self._links = links
-        self._local = local
+        self._deliver_local = deliver_local
         self._view = View()
-        self._chosen: dict[str, str | None] = {}
-        self._lines: dict[str, _Line] = {}
-        self._numbers = itertools.count()
-        self._told_held = 0.0
+        self._dispatcher_names: dict[str, str | None] = {}
+        self._pool_states: dict[str, _PoolState] = {}
+        self._ask_numbers = itertools.count()
+        self._held_reported_at = 0.0
 
     async def handle(self, message) -> None:
-        """Take a message of this instance, of a dispatcher, or of the membership."""
+        """Handle a message from this instance, a dispatcher or the membership."""
         match message:
             case Question(body=GrantRequest()):
-                self._ask(message)
+                self._request_grant(message)
             case Started(pool=pool, ask=ask, seconds=seconds):
                 self._send(pool, PoolFirstToken(pool, ask, seconds))
             case Ended():
-                self._end(message)
+                self._send_finished(message)
             case Received(sender=sender, message=PoolGrant() as grant):
-                self._hear(grant.pool, sender)
-                self._grant(grant)
+                self._note_sign_of_life(grant.pool, sender)
+                self._handle_grant(grant)
             case Received(sender=sender, message=PoolRefuse() as refusal):
-                self._hear(refusal.pool, sender)
-                self._refuse(refusal)
-            case Received(sender=sender, message=PoolQueued() as sign):
-                self._hear(sign.pool, sender, sign.again_in)
+                self._note_sign_of_life(refusal.pool, sender)
+                self._handle_refusal(refusal)
+            case Received(sender=sender, message=PoolQueued() as keepalive):
+                self._note_sign_of_life(keepalive.pool, sender, keepalive.again_in)
             case Received(sender=sender, message=PoolInquire(pool=pool)):
-                self._hear(pool, sender)
-                held = list(self._line(pool).running)
-                self._send_to(sender, PoolHeld(pool, self._own_name, held))
+                self._note_sign_of_life(pool, sender)
+                tracked = list(self._pool_state(pool).running)
+                self._send_to(sender, PoolHeld(pool, self._own_name, tracked))
             case Received(message=PoolStop(pool=pool, ask=ask)):
-                held = self._line(pool).running.get(ask)
-                if held:
-                    held.wanted.on_stop()
+                tracked = self._pool_state(pool).running.get(ask)
+                if tracked:
+                    tracked.wanted.on_stop()
             case Received(sender=sender, message=NotDispatcher(pool=pool)):
-                self._register_again(pool, sender)
+                self._handle_not_dispatcher(pool, sender)
             case LinkLost(address=address):
-                self._link_lost(address)
+                self._handle_link_lost(address)
             case ViewChanged(view=view):
                 self._view = view
-                self._chosen.clear()
-                self._follow()
+                self._dispatcher_names.clear()
+                self._update_dispatchers()
             case InForce(configuration=configuration):
                 for pool in configuration.pools:
-                    self._line(pool)
-                self._follow()
+                    self._pool_state(pool)
+                self._update_dispatchers()
             case Tick():
-                self._expire()
-                self._stand_by()
-                self._tell_held()
-                self._follow()
+                self._refuse_overdue()
+                self._start_standby()
+                self._report_held()
+                self._update_dispatchers()
 
     @property
-    def _waits(self) -> bool:
-        return any(line.waiting for line in self._lines.values())
+    def _has_waiting(self) -> bool:
+        return any(state.waiting for state in self._pool_states.values())
 
     @property
     def tick_interval(self) -> float:
-        """Seconds until the next look at what waits."""
-        return self._hurry if self._waits else TICK_S
+        """Seconds between ticks, fewer while requests wait."""
+        return self._busy_tick_s if self._has_waiting else TICK_S
 
-    def _line(self, pool: str) -> _Line:
-        if pool not in self._lines:
-            self._lines[pool] = _Line(patience=self._standby_after)
-        return self._lines[pool]
+    def _pool_state(self, pool: str) -> _PoolState:
+        if pool not in self._pool_states:
+            self._pool_states[pool] = _PoolState(patience=self._standby_after)
+        return self._pool_states[pool]
 
-    def _ask(self, question: Question) -> None:
+    def _request_grant(self, question: Question) -> None:
         wanted = question.body
         now = asyncio.get_running_loop().time()
-        if not self._waits:
-            self._tick_in(self._hurry)
-        self._ask_for(wanted.pool, _Held(question, wanted, now, asked=now))
+        if not self._has_waiting:
+            self._tick_in(self._busy_tick_s)
+        self._send_ask(wanted.pool, _TrackedRequest(question, wanted, now, asked=now))
 
-    def _ask_for(self, pool: str, held: _Held) -> None:
-        ask = f"{self._incarnation}.{next(self._numbers)}"
-        self._line(pool).waiting[ask] = held
-        self._send(pool, PoolAsk(pool, self._info(ask, held)))
+    def _send_ask(self, pool: str, tracked: _TrackedRequest) -> None:
+        ask = f"{self._incarnation}.{next(self._ask_numbers)}"
+        self._pool_state(pool).waiting[ask] = tracked
+        self._send(pool, PoolAsk(pool, self._work_info(ask, tracked)))
 
-    def _info(self, ask: str, held: _Held) -> WorkInfo:
+    def _work_info(self, ask: str, tracked: _TrackedRequest) -> WorkInfo:
         now = asyncio.get_running_loop().time()
         return replace(
-            held.wanted.work,
+            tracked.wanted.work,
             ask=ask,
-            deadline_in=held.wanted.deadline - now,
-            waited=now - held.received,
-            due_in=held.wanted.due - now,
-            ends_in=held.wanted.ends - now if held.wanted.ends else 0.0,
+            deadline_in=tracked.wanted.deadline - now,
+            waited=now - tracked.received,
+            due_in=tracked.wanted.due - now,
+            ends_in=tracked.wanted.ends - now if tracked.wanted.ends else 0.0,
         )
 
-    def _end(self, ended: Ended) -> None:
-        if self._line(ended.pool).running.pop(ended.ask, None):
+    def _send_finished(self, ended: Ended) -> None:
+        if self._pool_state(ended.pool).running.pop(ended.ask, None):
             self._send(
                 ended.pool,
                 PoolFinished(
@@ -206,172 +213,181 @@
                 ),
             )
 
-    def _grant(self, grant: PoolGrant) -> None:
-        line = self._line(grant.pool)
-        held = line.waiting.pop(grant.ask, None)
-        if held is None or held.question.answer.done():
+    def _handle_grant(self, grant: PoolGrant) -> None:
+        state = self._pool_state(grant.pool)
+        tracked = state.waiting.pop(grant.ask, None)
+        if tracked is None or tracked.question.answer.done():
             self._send(grant.pool, PoolWithdraw(grant.pool, grant.ask))
             return
-        elapsed = asyncio.get_running_loop().time() - held.received
+        elapsed = asyncio.get_running_loop().time() - tracked.received
         if elapsed - grant.waited > STALE_GRANT_S:
             self._send(grant.pool, PoolWithdraw(grant.pool, grant.ask))
-            self._ask_for(grant.pool, held)
+            self._send_ask(grant.pool, tracked)
             return
-        held.target = grant.target
-        line.running[grant.ask] = held
-        held.question.reply(Granted(grant.ask, grant.target))
+        tracked.target = grant.target
+        state.running[grant.ask] = tracked
+        tracked.question.reply(Granted(grant.ask, grant.target))
 
-    def _refuse(self, refusal: PoolRefuse) -> None:
-        held = self._line(refusal.pool).waiting.pop(refusal.ask, None)
-        if held:
+    def _handle_refusal(self, refusal: PoolRefuse) -> None:
+        tracked = self._pool_state(refusal.pool).waiting.pop(refusal.ask, None)
+        if tracked:
             reason = Reason(refusal.reason)
-            held.question.reply(Refused(reason, refusal.retry_after))
+            tracked.question.reply(Refused(reason, refusal.retry_after))
 
-    def _expire(self) -> None:
+    def _refuse_overdue(self) -> None:
         now = asyncio.get_running_loop().time()
-        for pool, line in self._lines.items():
-            for ask, held in list(line.waiting.items()):
-                gone = held.question.answer.done()
-                if gone or self._is_overdue(line, held.wanted, now):
-                    del line.waiting[ask]
+        for pool, state in self._pool_states.items():
+            for ask, tracked in list(state.waiting.items()):
+                is_cancelled = tracked.question.answer.done()
+                if is_cancelled or self._is_overdue(state, tracked.wanted, now):
+                    del state.waiting[ask]
                     self._send(pool, PoolWithdraw(pool, ask))
-                    held.question.reply(
+                    tracked.question.reply(
                         Refused(Reason.UNAVAILABLE, UNAVAILABLE_RETRY_S)
                     )
 
-    def _is_overdue(self, line: _Line, wanted: GrantRequest, now: float) -> bool:
+    def _is_overdue(self, state: _PoolState, wanted: GrantRequest, now: float) -> bool:
         """Whether a request has waited too long for a dispatcher's decision.
 
-        A dispatcher that tells that it is alive may know better, and keep waiting what
-        has no chance of a better try.
+        A dispatcher that is alive may keep a request waiting beyond its deadline if a
+        retry would have no better chance.
         """
-        if wanted.never_shed and line.dispatcher:
+        if wanted.never_shed and state.dispatcher:
             return False
-        heard = self._standby_after and now - line.heard < line.patience
-        latest = max(wanted.deadline, wanted.ends) if heard else wanted.deadline
-        return latest + DISPATCHER_GRACE_S < now
+        recently_heard = self._standby_after and now - state.heard < state.patience
+        latest = (
+            max(wanted.deadline, wanted.ends) if recently_heard else wanted.deadline
+        )
+        return latest + DECISION_GRACE_S < now
 
-    def _hear(self, pool: str, sender: str, again_in: float = 0.0) -> None:
-        """Take note that the dispatcher of a pool is alive.
+    def _note_sign_of_life(self, pool: str, sender: str, again_in: float = 0.0) -> None:
+        """Record that the dispatcher of a pool is alive.
 
         Parameters
         ----------
         pool, sender : str
-            The pool, and who sent the sign of life.
+            The pool, and the peer address of the message's sender.
         again_in : float
-            Seconds until the next one, as it was told.
+            Seconds until the next keepalive, as stated in this one; 0 if not stated.
         """
-        line = self._line(pool)
-        if line.dispatcher and line.dispatcher.peer_address == sender:
-            line.heard = asyncio.get_running_loop().time()
-            late = again_in - USUAL_SIGN_S
-            line.patience = self._standby_after + max(0.0, late)
+        state = self._pool_state(pool)
+        if state.dispatcher and state.dispatcher.peer_address == sender:
+            state.heard = asyncio.get_running_loop().time()
+            extra = again_in - MIN_KEEPALIVE_INTERVAL_S
+            state.patience = self._standby_after + max(0.0, extra)
             if sender != self._address:
-                line.alone_s = FIRST_STANDBY_S
+                state.alone_s = MIN_STANDBY_S
 
-    def _stand_by(self) -> None:
-        """Dispatch for oneself where the dispatcher has been silent for too long."""
+    def _start_standby(self) -> None:
+        """Dispatch own requests in pools whose dispatcher has been silent too long."""
         if not self._standby_after:
             return
         now = asyncio.get_running_loop().time()
-        for pool, line in self._lines.items():
-            oldest = min((held.asked for held in line.waiting.values()), default=now)
-            silent = now - max(line.heard, oldest)
-            if silent > line.patience and now >= line.alone_until:
-                line.alone_until = now + line.alone_s
-                line.alone_s = min(MAX_STANDBY_S, line.alone_s * 2)
-                name = line.dispatcher.name if line.dispatcher else ""
+        for pool, state in self._pool_states.items():
+            oldest = min(
+                (tracked.asked for tracked in state.waiting.values()), default=now
+            )
+            silence = now - max(state.heard, oldest)
+            if silence > state.patience and now >= state.alone_until:
+                state.alone_until = now + state.alone_s
+                state.alone_s = min(MAX_STANDBY_S, state.alone_s * 2)
+                name = state.dispatcher.name if state.dispatcher else ""
                 decision(
                     "dispatcher-silent",
                     pool=pool,
                     dispatcher=name,
-                    silent_s=round(silent, 3),
-                    alone_s=round(line.alone_until - now, 1),
+                    silent_s=round(silence, 3),
+                    alone_s=round(state.alone_until - now, 1),
                 )
 
-    def _tell_held(self) -> None:
-        """Tell the dispatchers now and then all that runs, lest they count too much."""
+    def _report_held(self) -> None:
+        """Send the running requests periodically, so that lost ends free slots."""
         now = asyncio.get_running_loop().time()
-        if not self._standby_after or now < self._told_held + TELL_HELD_S:
+        if (
+            not self._standby_after
+            or now < self._held_reported_at + HELD_REPORT_INTERVAL_S
+        ):
             return
-        self._told_held = now
-        for pool, line in self._lines.items():
-            if line.running or line.told_held:
-                self._send(pool, PoolHeld(pool, self._own_name, list(line.running)))
-            line.told_held = bool(line.running)
-
-    def _choose(self, pool: str) -> str | None:
-        if pool not in self._chosen:
-            self._chosen[pool] = self._view.dispatcher(pool)
-        return self._chosen[pool]
-
-    def _stands_alone(self, pool: str, line: _Line) -> bool:
-        """Whether this instance dispatches for itself.
-
-        It does where the dispatcher is silent, and where there is none: after a
-        restart of all nobody is settled enough to dispatch for a second. Waiting for
-        the silence to be noticed cost each of the first requests 0.12 to 0.16 s.
+        self._held_reported_at = now
+        for pool, state in self._pool_states.items():
+            if state.running or state.told_held:
+                self._send(pool, PoolHeld(pool, self._own_name, list(state.running)))
+            state.told_held = bool(state.running)
+
+    def _dispatcher_name(self, pool: str) -> str | None:
+        if pool not in self._dispatcher_names:
+            self._dispatcher_names[pool] = self._view.dispatcher(pool)
+        return self._dispatcher_names[pool]
+
+    def _is_standby(self, pool: str, state: _PoolState) -> bool:
+        """Whether this instance dispatches its own requests of a pool.
+
+        It does if the dispatcher is silent or if there is none: after a restart of all
+        instances, none is ready to dispatch for about a second. Waiting until the
+        silence was detected delayed each of the first requests by 0.12 to 0.16 s.
         """
-        if asyncio.get_running_loop().time() < line.alone_until:
+        if asyncio.get_running_loop().time() < state.alone_until:
             return True
-        return bool(self._standby_after) and self._choose(pool) is None
-
-    def _follow(self) -> None:
-        """Register with each dispatcher that is new."""
-        for pool, line in self._lines.items():
-            alone = self._stands_alone(pool, line)
-            chosen = self._own_name if alone else self._choose(pool)
-            member = self._view.members.get(chosen) if chosen else None
-            known = line.dispatcher
-            same = (
-                known is not None
+        return bool(self._standby_after) and self._dispatcher_name(pool) is None
+
+    def _update_dispatchers(self) -> None:
+        """Determine the dispatcher of each pool and register with each new one."""
+        for pool, state in self._pool_states.items():
+            alone = self._is_standby(pool, state)
+            dispatcher_name = self._own_name if alone else self._dispatcher_name(pool)
+            member = (
+                self._view.members.get(dispatcher_name) if dispatcher_name else None
+            )
+            previous = state.dispatcher
+            unchanged = (
+                previous is not None
                 and member is not None
-                and known.incarnation == member.incarnation
-                and line.alone == alone
+                and previous.incarnation == member.incarnation
+                and state.alone == alone
             )
-            line.dispatcher = member
-            line.alone = alone
-            if member and not same:
-                self._register(pool, line)
+            state.dispatcher = member
+            state.alone = alone
+            if member and not unchanged:
+                self._register(pool, state)
 
-    def _register(self, pool: str, line: _Line) -> None:
+    def _register(self, pool: str, state: _PoolState) -> None:
         renamed = {
-            f"{self._incarnation}.{next(self._numbers)}": held
-            for held in line.waiting.values()
+            f"{self._incarnation}.{next(self._ask_numbers)}": tracked
+            for tracked in state.waiting.values()
         }
         now = asyncio.get_running_loop().time()
-        line.heard = now
-        line.patience = self._standby_after
-        for held in renamed.values():
-            held.asked = now
-        line.waiting = renamed
+        state.heard = now
+        state.patience = self._standby_after
+        for tracked in renamed.values():
+            tracked.asked = now
+        state.waiting = renamed
         message = PoolRegister(
             pool,
             self._own_name,
             self._incarnation,
-            [self._info(ask, held) for ask, held in renamed.items()],
-            [self._info(ask, held) for ask, held in line.running.items()],
-            [held.target for held in line.running.values()],
+            [self._work_info(ask, tracked) for ask, tracked in renamed.items()],
+            [self._work_info(ask, tracked) for ask, tracked in state.running.items()],
+            [tracked.target for tracked in state.running.values()],
         )
         self._send(pool, message)
 
-    def _register_again(self, pool: str, sender: str) -> None:
-        line = self._line(pool)
-        if line.dispatcher and line.dispatcher.peer_address == sender:
-            line.dispatcher = None
+    def _handle_not_dispatcher(self, pool: str, sender: str) -> None:
+        state = self._pool_state(pool)
+        if state.dispatcher and state.dispatcher.peer_address == sender:
+            state.dispatcher = None
 
-    def _link_lost(self, address: str) -> None:
-        for line in self._lines.values():
-            if line.dispatcher and line.dispatcher.peer_address == address:
-                line.dispatcher = None
+    def _handle_link_lost(self, address: str) -> None:
+        for state in self._pool_states.values():
+            if state.dispatcher and state.dispatcher.peer_address == address:
+                state.dispatcher = None
 
     def _send(self, pool: str, message) -> None:
-        dispatcher = self._line(pool).dispatcher
+        dispatcher = self._pool_state(pool).dispatcher
         if dispatcher is not None:
             self._send_to(dispatcher.peer_address, message)
 
     def _send_to(self, address: str, message) -> None:
         if address == self._address:
-            self._local(Received(self._address, message))
+            self._deliver_local(Received(self._address, message))
         else:
             self._links.tell(Send(address, message))
