--- a/hibiscusstep/dispatching.py
+++ b/hibiscusstep/dispatching.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.dispatching: runs the dispatchers of the pools an instance has."""
+"""hibiscusstep.dispatching: runs the dispatchers of an instance's pools."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import orjson
 
 from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.duty import TICK_S, Duty, learnt_of, work_of
+from hibiscusstep.duty import TICK_S, HostedDispatcher, to_learnt, to_work
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Question, Tick, Worker
 from hibiscusstep.membership.view import View
@@ -46,29 +46,27 @@
 
 _LOG = logging.getLogger(__name__)
 IDLE_TICK_S = 0.5
-# What a dispatcher believes is logged this often.
-STATE_INTERVAL_S = 2.0
-# How far an order to change the version came is told and logged this often.
-ROLLOUT_INTERVAL_S = 0.5
+STATE_LOG_INTERVAL_S = 2.0
+ROLLOUT_REPORT_INTERVAL_S = 0.5
 # A new dispatcher decides after this time even if not every instance has registered:
-# one that is paused must not hold up the others.
+# a paused instance must not delay the others.
 RECOVERY_TIMEOUT_S = 0.3
-REPORT_INTERVAL_S = 1.0
-# A sign of life to an instance costs some 40 us: at most so many a second are sent to
-# those whose requests wait, however many they are, which is 4 % of a core. At each
-# tick to each of 195 instances they were 3,900, a fifth of what a dispatcher has.
-SIGNS_PER_S = 1000.0
-# An instance that dispatches for itself takes so many times its even share of the
-# slots: its load is uneven, and the others may all do the same.
-ALONE_SHARES = 2.0
-# Where the instances are too many to hear each other, one that has not told what it
-# holds for so long (three times missed) is gone, and so are its requests.
-SILENT_INSTANCE_S = 4.5
+LOAD_REPORT_INTERVAL_S = 1.0
+# Limit on keepalives to all instances with waiting requests together. One costs about
+# 40 us, so this is 4 % of a core. Keepalives to 195 instances at each tick were 3,900
+# a second, a fifth of a dispatcher's capacity.
+KEEPALIVES_PER_S = 1000.0
+# An instance in standby uses at most this multiple of an even share of the slots: its
+# load may be above average, and all other instances may be in standby too.
+STANDBY_SHARES = 2.0
+# In a region without a full mesh, an instance whose `PoolHeld` message is absent for
+# this long (three were missed) is considered dead and its requests are dropped.
+INSTANCE_TIMEOUT_S = 4.5
 
 
 @dataclass(frozen=True, slots=True)
-class _Reported:
-    """A target of a pool reported its load."""
+class _PolledLoad:
+    """A load report read from a target of a pool."""
 
     pool: str
     report: m.LoadReport
@@ -76,37 +74,37 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetLoad:
-    """A target told its load with an answer to this instance."""
+    """A load report that a target sent with an answer to this instance."""
 
     pool: str
     report: m.LoadReport
 
 
 class Dispatching(Worker):
-    """Feeds pure dispatchers with messages and carries their decisions out.
+    """Passes messages to pure dispatchers and executes their decisions.
 
     Parameters
     ----------
     name, address : str
         Own name and peer address.
     links : Worker
-        Sends to peers.
-    local : callable of Received
-        Takes what is meant for this instance's desk.
+        Sends messages to peers.
+    deliver_local : callable of Received
+        Delivers messages to this instance's desk.
     sessions : TargetSessions
-        For the targets' load reports.
+        Used to read the targets' load reports.
     tier_guard : bool
-        Off only to show what it prevents.
+        Whether tiers are guarded; off only to show what the guard prevents.
     kind : type
-        Makes the dispatcher of a pool.
+        Creates the dispatcher of a pool.
     reads_reports : bool
-        Whether the targets' load reports are read.
+        Whether to read the targets' load reports.
     serves_itself : bool
-        Whether it dispatches its own instance's requests of any pool when asked.
+        Whether to dispatch this instance's own requests of any pool on demand.
     kept : callable of PoolLearnt or None
-        Keeps what the dispatchers here learn beyond the processes.
+        Stores the values learnt by the dispatchers here, so that they survive restarts.
     on_rollout : callable of RolloutNews or None
-        Is told how far orders to change a pool's version came.
+        Called with the progress of orders to change a pool's version.
     """
 
     def __init__(
@@ -114,7 +112,7 @@
         name: str,
         address: str,
         links: Worker,
-        local: Callable[[Received], None],
+        deliver_local: Callable[[Received], None],
         sessions,
         *,
         tier_guard: bool = True,
@@ -125,126 +123,131 @@
         on_rollout: Callable[[RolloutNews], None] | None = None,
     ) -> None:
         super().__init__("dispatching", tick_interval=TICK_S)
-        self._kind = kind
+        self._make_dispatcher = kind
         self._reads_reports = reads_reports
         self._serves_itself = serves_itself
-        self._own_duties: dict[str, Duty] = {}
-        self._kept = kept
+        self._standby_hosted: dict[str, HostedDispatcher] = {}
+        self._keep_learnt = kept
         self._on_rollout = on_rollout
         self._learnt: dict[str, m.Learnt] = {}
         self._own_name = name
         self._address = address
         self._links = links
-        self._local = local
+        self._deliver_local = deliver_local
         self._sessions = sessions
         self._tier_guard = tier_guard
         self._view = View()
         self._configuration: Configuration | None = None
-        self._duties: dict[str, Duty] = {}
+        self._hosted: dict[str, HostedDispatcher] = {}
 
     @property
     def tick_interval(self) -> float:
-        """Seconds until the next look at what waits here."""
-        duties = (*self._duties.values(), *self._own_duties.values())
-        busy = self._duties or any(duty.dispatcher.waiting for duty in duties)
+        """Seconds between ticks, fewer while a dispatcher has work."""
+        all_hosted = (*self._hosted.values(), *self._standby_hosted.values())
+        busy = self._hosted or any(hosted.dispatcher.waiting for hosted in all_hosted)
         return TICK_S if busy else IDLE_TICK_S
 
     async def stop(self) -> None:
-        """End the reading of load reports."""
-        for duty in self._duties.values():
-            self._end_poller(duty)
-        self._duties = {}
+        """Stop reading load reports."""
+        for hosted in self._hosted.values():
+            self._stop_poller(hosted)
+        self._hosted = {}
 
-    def _end_poller(self, duty: Duty) -> None:
-        if duty.poller:
-            duty.poller.cancel()
+    def _stop_poller(self, hosted: HostedDispatcher) -> None:
+        if hosted.poller:
+            hosted.poller.cancel()
 
     async def handle(self, message) -> None:
-        """Take a message of a desk, a load report, a view or a configuration."""
+        """Handle a message from a desk, a load report, a view or a configuration."""
         match message:
             case Received(sender=sender, message=StatusAsk(number=number, pool=pool)):
                 reply = StatusReply(number, orjson.dumps(self.status(pool)).decode())
-                self._reply(sender, reply)
+                self._send(sender, reply)
             case Question(body=StatusAsk(pool=pool)):
                 message.reply(self.status(pool))
-            case Received(message=PoolLearnt() as news):
-                self._take_learnt(news)
-            case PoolLearnt() as news:
-                self._take_kept(news)
+            case Received(message=PoolLearnt() as learnt_message):
+                self._handle_learnt(learnt_message)
+            case PoolLearnt() as learnt_message:
+                self._handle_restored(learnt_message)
             case Received(sender=sender, message=body):
-                self._from_desk(sender, body)
-            case _Reported(pool=pool, report=report):
-                if pool in self._duties:
-                    self._feed(self._duties[pool], report)
+                self._handle_pool_message(sender, body)
+            case _PolledLoad(pool=pool, report=report):
+                if pool in self._hosted:
+                    self._feed(self._hosted[pool], report)
             case TargetLoad(pool=pool, report=report):
-                if pool in self._own_duties:
-                    self._feed(self._own_duties[pool], report)
+                if pool in self._standby_hosted:
+                    self._feed(self._standby_hosted[pool], report)
             case ViewChanged(view=view):
-                self._change_view(view)
+                self._handle_view(view)
             case InForce(configuration=configuration):
                 self._configuration = configuration
-                self._change_configuration()
+                self._handle_configuration()
             case Tick():
-                self._take_tick()
+                self._handle_tick()
 
     @property
     def overdue(self) -> dict[str, int]:
-        """Slots held here beyond the expected end of their requests, by pool."""
-        return {pool: duty.dispatcher.overdue for pool, duty in self._duties.items()}
+        """Slots held beyond the expected end of their requests, by pool."""
+        return {
+            pool: hosted.dispatcher.overdue for pool, hosted in self._hosted.items()
+        }
 
     @property
     def rollouts(self) -> dict[str, dict]:
-        """Orders to change a version that are carried out here, in short, by pool."""
+        """Summaries of the rollouts that run here, by pool."""
         return {
             pool: {"version": rollout.planned.version, **rollout.summary}
-            for pool, duty in self._duties.items()
-            if (rollout := duty.dispatcher.rollout)
+            for pool, hosted in self._hosted.items()
+            if (rollout := hosted.dispatcher.rollout)
         }
 
     def status(self, pool: str) -> dict:
-        """Return a pool's targets and queues, empty if it falls to another."""
-        duty = self._duties.get(pool)
-        if duty is None:
+        """Return a pool's targets and queues; empty if it is not dispatched here."""
+        hosted = self._hosted.get(pool)
+        if hosted is None:
             return {}
         return {
             "dispatcher": self._own_name,
-            "recovered": duty.dispatcher.recovered,
-            "waiting": duty.dispatcher.waiting,
-            "counts": asdict(duty.dispatcher.counts),
-            "targets": duty.dispatcher.status(),
+            "recovered": hosted.dispatcher.recovered,
+            "waiting": hosted.dispatcher.waiting,
+            "counts": asdict(hosted.dispatcher.counts),
+            "targets": hosted.dispatcher.status(),
         }
 
-    def _take_tick(self) -> None:
+    def _handle_tick(self) -> None:
         now = asyncio.get_running_loop().time()
-        for duty in (*self._duties.values(), *self._own_duties.values()):
-            overdue = self._serves_itself and now > duty.since + RECOVERY_TIMEOUT_S
-            if overdue and not duty.dispatcher.recovered:
-                self._recover(duty)
-            self._drop_silent(duty, now)
-            self._feed(duty, m.Tick())
-            self._say_alive(duty, now)
-            self._tell_rollout(duty, now)
-            if duty.told + STATE_INTERVAL_S <= now and duty in self._duties.values():
-                duty.told = now
-                self._log_state(duty, now)
-                self._tell_learnt(duty)
-
-    def _drop_silent(self, duty: Duty, now: float) -> None:
-        """Drop what instances held that this one does not hear in its view."""
+        for hosted in (*self._hosted.values(), *self._standby_hosted.values()):
+            may_decide = self._serves_itself and now > hosted.since + RECOVERY_TIMEOUT_S
+            if may_decide and not hosted.dispatcher.recovered:
+                self._recover(hosted)
+            self._drop_silent_instances(hosted, now)
+            self._feed(hosted, m.Tick())
+            self._send_keepalives(hosted, now)
+            self._report_rollout(hosted, now)
+            if (
+                hosted.told + STATE_LOG_INTERVAL_S <= now
+                and hosted in self._hosted.values()
+            ):
+                hosted.told = now
+                self._log_state(hosted, now)
+                self._send_learnt(hosted)
+
+    def _drop_silent_instances(self, hosted: HostedDispatcher, now: float) -> None:
+        """Drop the requests of silent instances where there is no full mesh."""
         if self._view.is_mesh:
             return
-        silent = [n for n, at in duty.heard.items() if now - at > SILENT_INSTANCE_S]
+        silent = [n for n, at in hosted.heard.items() if now - at > INSTANCE_TIMEOUT_S]
         for name in silent:
-            del duty.heard[name]
-            self._feed(duty, m.InstanceGone(name))
+            del hosted.heard[name]
+            self._feed(hosted, m.InstanceGone(name))
 
-    def _tell_learnt(self, duty: Duty) -> None:
-        """Tell the others what was learnt: any of them may have to dispatch next."""
-        learnt = duty.dispatcher.learnt
+    def _send_learnt(self, hosted: HostedDispatcher) -> None:
+        """Send the learnt values to the neighbours: any may become the dispatcher."""
+        learnt = hosted.dispatcher.learnt
         if not learnt:
             return
-        pool = duty.dispatcher.pool_name
-        news = PoolLearnt(
+        pool = hosted.dispatcher.pool_name
+        learnt_message = PoolLearnt(
             pool,
             list(learnt.slowness),
             list(learnt.slowness.values()),
@@ -252,22 +255,22 @@
             learnt.token,
             learnt.share,
         )
-        if self._kept:
-            self._kept(news)
+        if self._keep_learnt:
+            self._keep_learnt(learnt_message)
         for address in self._view.neighbours(self._address):
-            self._links.tell(Send(address, news))
+            self._links.tell(Send(address, learnt_message))
 
-    def _tell_rollout(
-        self, duty: Duty, now: float, concluded: m.Conclude | None = None
+    def _report_rollout(
+        self, hosted: HostedDispatcher, now: float, concluded: m.Conclude | None = None
     ) -> None:
-        """Tell how far the order of a pool came, now and then and at its end."""
-        rollout = duty.dispatcher.rollout
+        """Report and log a rollout's progress, periodically and at its end."""
+        rollout = hosted.dispatcher.rollout
         if rollout is None or not self._on_rollout:
             return
-        if concluded is None and now < duty.rollout_told + ROLLOUT_INTERVAL_S:
+        if concluded is None and now < hosted.rollout_told + ROLLOUT_REPORT_INTERVAL_S:
             return
-        duty.rollout_told = now
-        pool, number = duty.dispatcher.pool_name, rollout.planned.number
+        hosted.rollout_told = now
+        pool, number = hosted.dispatcher.pool_name, rollout.planned.number
         fields = {"pool": pool, "version": rollout.planned.version, **rollout.summary}
         if concluded:
             fields |= {"state": concluded.state, "reason": concluded.reason}
@@ -275,77 +278,84 @@
         verdict = (concluded.state, concluded.reason) if concluded else ()
         self._on_rollout(RolloutNews(pool, number, rollout.progress, *verdict))
 
-    def _take_learnt(self, news: PoolLearnt) -> None:
-        """Remember another's learning for the time when it falls to this instance."""
+    def _handle_learnt(self, learnt_message: PoolLearnt) -> None:
+        """Store values that another dispatcher learnt, in case this one takes over."""
         for follower in self._view.followers.values():
-            self._links.tell(Send(follower.peer_address, news))
-        self._learnt[news.pool] = learnt_of(news)
-        if news.pool in self._own_duties:
-            self._feed(self._own_duties[news.pool], self._learnt[news.pool])
-
-    def _take_kept(self, news: PoolLearnt) -> None:
-        """Take what was kept of an earlier time where nothing newer is known."""
-        kept = learnt_of(news, old=True)
-        self._learnt.setdefault(news.pool, kept)
-        for duties in (self._duties, self._own_duties):
-            if news.pool in duties:
-                self._feed(duties[news.pool], kept)
-
-    def _log_state(self, duty: Duty, now: float) -> None:
-        """Log what the dispatcher believes of its targets."""
-        summary = duty.dispatcher.summary(now)
+            self._links.tell(Send(follower.peer_address, learnt_message))
+        self._learnt[learnt_message.pool] = to_learnt(learnt_message)
+        if learnt_message.pool in self._standby_hosted:
+            self._feed(
+                self._standby_hosted[learnt_message.pool],
+                self._learnt[learnt_message.pool],
+            )
+
+    def _handle_restored(self, learnt_message: PoolLearnt) -> None:
+        """Use stored values from before a restart where nothing newer is known."""
+        restored = to_learnt(learnt_message, old=True)
+        self._learnt.setdefault(learnt_message.pool, restored)
+        for all_hosted in (self._hosted, self._standby_hosted):
+            if learnt_message.pool in all_hosted:
+                self._feed(all_hosted[learnt_message.pool], restored)
+
+    def _log_state(self, hosted: HostedDispatcher, now: float) -> None:
+        """Log the dispatcher's estimates of its targets."""
+        summary = hosted.dispatcher.summary(now)
         if summary:
-            decision("pool-state", pool=duty.dispatcher.pool_name, **summary)
+            decision("pool-state", pool=hosted.dispatcher.pool_name, **summary)
 
-    def _say_alive(self, duty: Duty, now: float) -> None:
-        """Tell the instances whose requests wait that they are not forgotten."""
-        if now + TICK_S / 2 < duty.signed + duty.sign_interval:
+    def _send_keepalives(self, hosted: HostedDispatcher, now: float) -> None:
+        """Send keepalives to the instances with waiting requests."""
+        if now + TICK_S / 2 < hosted.signed + hosted.sign_interval:
             return
-        instances = duty.dispatcher.instances_waiting()
-        duty.signed = now
-        duty.sign_interval = max(TICK_S, len(instances) / SIGNS_PER_S)
-        sign = PoolQueued(duty.dispatcher.pool_name, duty.sign_interval)
+        instances = hosted.dispatcher.instances_waiting()
+        hosted.signed = now
+        hosted.sign_interval = max(TICK_S, len(instances) / KEEPALIVES_PER_S)
+        keepalive = PoolQueued(hosted.dispatcher.pool_name, hosted.sign_interval)
         for instance in instances:
-            address = duty.addresses.get(instance)
+            address = hosted.addresses.get(instance)
             if address:
-                self._reply(address, sign)
+                self._send(address, keepalive)
 
-    def _own_duty(self, pool: str) -> Duty | None:
-        """Return the dispatcher that serves this instance alone, made when needed."""
+    def _standby_dispatcher(self, pool: str) -> HostedDispatcher | None:
+        """Return the dispatcher for own requests only, created on demand."""
         if not self._serves_itself or self._configuration is None:
             return None
-        if pool not in self._own_duties:
-            duty = Duty(self._kind(pool, self._configuration, alone=self._own_name))
-            self._own_duties[pool] = duty
+        if pool not in self._standby_hosted:
+            hosted = HostedDispatcher(
+                self._make_dispatcher(pool, self._configuration, alone=self._own_name)
+            )
+            self._standby_hosted[pool] = hosted
             if pool in self._learnt:
-                self._feed(duty, self._learnt[pool])
-            self._feed(duty, m.Recovered())
+                self._feed(hosted, self._learnt[pool])
+            self._feed(hosted, m.Recovered())
         self._tick_in(TICK_S)
-        duty = self._own_duties[pool]
-        duty.dispatcher.share = min(1.0, ALONE_SHARES / max(1, self._view.likely_size))
-        return duty
+        hosted = self._standby_hosted[pool]
+        hosted.dispatcher.share = min(
+            1.0, STANDBY_SHARES / max(1, self._view.likely_size)
+        )
+        return hosted
 
-    def _from_desk(self, sender: str, body) -> None:
+    def _handle_pool_message(self, sender: str, body) -> None:
         pool = body.pool
-        duty = self._duties.get(pool)
-        if duty is None and sender == self._address:
-            duty = self._own_duty(pool)
-        if duty is None:
+        hosted = self._hosted.get(pool)
+        if hosted is None and sender == self._address:
+            hosted = self._standby_dispatcher(pool)
+        if hosted is None:
             if isinstance(body, PoolAsk | PoolRegister):
-                self._reply(sender, NotDispatcher(pool))
+                self._send(sender, NotDispatcher(pool))
             return
         now = asyncio.get_running_loop().time()
         match body:
             case PoolAsk(work=info):
-                duty.addresses[info.instance] = sender
-                duty.heard[info.instance] = now
-                self._feed(duty, m.Ask(work_of(info, now)))
-                if self._serves_itself and duty.dispatcher.is_waiting(info.ask):
-                    self._reply(sender, PoolQueued(pool, duty.sign_interval))
+                hosted.addresses[info.instance] = sender
+                hosted.heard[info.instance] = now
+                self._feed(hosted, m.Ask(to_work(info, now)))
+                if self._serves_itself and hosted.dispatcher.is_waiting(info.ask):
+                    self._send(sender, PoolQueued(pool, hosted.sign_interval))
             case PoolWithdraw(ask=ask):
-                self._feed(duty, m.Withdraw(ask))
+                self._feed(hosted, m.Withdraw(ask))
             case PoolFirstToken(ask=ask, seconds=seconds):
-                self._feed(duty, m.FirstToken(ask, seconds))
+                self._feed(hosted, m.FirstToken(ask, seconds))
             case PoolFinished():
                 finished = m.Finished(
                     body.ask,
@@ -355,126 +365,130 @@
                     body.computed,
                     body.longest_pause,
                 )
-                self._feed(duty, finished)
+                self._feed(hosted, finished)
             case PoolHeld(instance=instance, asks=asks):
-                duty.heard[instance] = now
-                self._feed(duty, m.Held(instance, frozenset(asks)))
+                hosted.heard[instance] = now
+                self._feed(hosted, m.Held(instance, frozenset(asks)))
             case PoolRegister():
-                self._register(duty, sender, body, now)
+                self._register(hosted, sender, body, now)
 
     def _register(
-        self, duty: Duty, sender: str, body: PoolRegister, now: float
+        self, hosted: HostedDispatcher, sender: str, body: PoolRegister, now: float
     ) -> None:
-        duty.addresses[body.instance] = sender
-        duty.heard[body.instance] = now
-        self._feed(duty, m.InstanceGone(body.instance))
+        hosted.addresses[body.instance] = sender
+        hosted.heard[body.instance] = now
+        self._feed(hosted, m.InstanceGone(body.instance))
         for info, target in zip(body.running, body.targets, strict=True):
-            self._feed(duty, m.Adopt(work_of(info, now), target))
+            self._feed(hosted, m.Adopt(to_work(info, now), target))
         for info in body.waiting:
-            self._feed(duty, m.Ask(work_of(info, now)))
-        duty.registered.add(body.incarnation)
-        self._maybe_recovered(body.pool, duty)
+            self._feed(hosted, m.Ask(to_work(info, now)))
+        hosted.registered.add(body.incarnation)
+        self._recover_if_all_registered(body.pool, hosted)
 
-    def _maybe_recovered(self, pool: str, duty: Duty) -> None:
-        """Let a dispatcher decide once every live instance has registered."""
-        if duty.dispatcher.recovered:
+    def _recover_if_all_registered(self, pool: str, hosted: HostedDispatcher) -> None:
+        """Allow a dispatcher to decide once every live instance has registered."""
+        if hosted.dispatcher.recovered:
             return
         view = self._view
-        known = (*view.members.values(), *view.followers.values())
-        expected = {member.incarnation for member in known if member.ready}
-        if not view.others and expected <= duty.registered:
-            self._recover(duty)
-
-    def _recover(self, duty: Duty) -> None:
-        pool = duty.dispatcher.pool_name
-        decision("dispatcher-recovered", pool=pool, instances=len(duty.registered))
-        self._feed(duty, m.Recovered())
-
-    def _change_view(self, view: View) -> None:
-        before, self._view = self._view.members, view
-        gone = before.keys() - view.members.keys()
-        self._take_duties()
-        for pool, duty in self._duties.items():
-            # In a large region a relay that left the view may follow another one.
-            for name in gone if view.is_mesh else ():
-                self._feed(duty, m.InstanceGone(name))
-                duty.dropped.add(before[name].incarnation)
-            self._ask_back(pool, duty)
-            self._feed(duty, m.Doubt(view.doubtful))
-            self._maybe_recovered(pool, duty)
-
-    def _ask_back(self, pool: str, duty: Duty) -> None:
-        """Ask instances to register again that were taken for dead and live.
-
-        They do not know that what they hold was dropped: their waiting requests would
-        be refused at their deadlines.
+        live = (*view.members.values(), *view.followers.values())
+        expected = {member.incarnation for member in live if member.ready}
+        if not view.others and expected <= hosted.registered:
+            self._recover(hosted)
+
+    def _recover(self, hosted: HostedDispatcher) -> None:
+        pool = hosted.dispatcher.pool_name
+        decision("dispatcher-recovered", pool=pool, instances=len(hosted.registered))
+        self._feed(hosted, m.Recovered())
+
+    def _handle_view(self, view: View) -> None:
+        previous, self._view = self._view.members, view
+        removed = previous.keys() - view.members.keys()
+        self._update_hosted()
+        for pool, hosted in self._hosted.items():
+            # In a large region a relay missing from the view may follow another relay.
+            for name in removed if view.is_mesh else ():
+                self._feed(hosted, m.InstanceGone(name))
+                hosted.dropped.add(previous[name].incarnation)
+            self._request_registration(pool, hosted)
+            self._feed(hosted, m.Doubt(view.doubtful))
+            self._recover_if_all_registered(pool, hosted)
+
+    def _request_registration(self, pool: str, hosted: HostedDispatcher) -> None:
+        """Ask live instances that were considered dead to register again.
+
+        They do not know that their requests were dropped: those that wait would be
+        refused at their deadlines.
         """
         for member in self._view.members.values():
-            if member.incarnation in duty.dropped:
-                duty.dropped.discard(member.incarnation)
-                self._reply(member.peer_address, NotDispatcher(pool))
+            if member.incarnation in hosted.dropped:
+                hosted.dropped.discard(member.incarnation)
+                self._send(member.peer_address, NotDispatcher(pool))
 
-    def _change_configuration(self) -> None:
-        for duty in (*self._duties.values(), *self._own_duties.values()):
-            self._feed(duty, m.Configure(self._configuration))
-        self._take_duties()
+    def _handle_configuration(self) -> None:
+        for hosted in (*self._hosted.values(), *self._standby_hosted.values()):
+            self._feed(hosted, m.Configure(self._configuration))
+        self._update_hosted()
 
-    def _take_duties(self) -> None:
+    def _update_hosted(self) -> None:
         if self._configuration is None:
             return
-        mine = {
+        own_pools = {
             pool
             for pool in self._configuration.pools
             if self._view.dispatcher(pool) == self._own_name
         }
-        for pool in self._duties.keys() - mine:
-            self._end_poller(self._duties.pop(pool))
+        for pool in self._hosted.keys() - own_pools:
+            self._stop_poller(self._hosted.pop(pool))
             decision("dispatcher-left", pool=pool)
-        for pool in mine - self._duties.keys():
-            dispatcher = self._kind(
+        for pool in own_pools - self._hosted.keys():
+            dispatcher = self._make_dispatcher(
                 pool, self._configuration, tier_guard=self._tier_guard
             )
-            duty = Duty(dispatcher, since=asyncio.get_running_loop().time())
+            hosted = HostedDispatcher(
+                dispatcher, since=asyncio.get_running_loop().time()
+            )
             if self._reads_reports:
-                duty.poller = asyncio.create_task(self._poll(pool))
-            self._duties[pool] = duty
+                hosted.poller = asyncio.create_task(self._poll_load_reports(pool))
+            self._hosted[pool] = hosted
             if pool in self._learnt:
-                self._feed(duty, self._learnt[pool])
+                self._feed(hosted, self._learnt[pool])
             decision("dispatcher-taken", pool=pool)
-        if mine:
+        if own_pools:
             self._tick_in(TICK_S)
 
-    async def _poll(self, pool: str) -> None:
+    async def _poll_load_reports(self, pool: str) -> None:
         while True:
             settings = self._configuration.pools.get(pool)
             if settings is None:
                 return
-            kind = get_target_by_kind(settings.kind)
+            target_class = get_target_by_kind(settings.kind)
             reports = await asyncio.gather(
                 *(
-                    kind(name, target.address, self._sessions).report()
+                    target_class(name, target.address, self._sessions).report()
                     for name, target in settings.targets.items()
                 )
             )
             for report in reports:
-                self.tell(_Reported(pool, report))
-            await asyncio.sleep(REPORT_INTERVAL_S)
+                self.tell(_PolledLoad(pool, report))
+            await asyncio.sleep(LOAD_REPORT_INTERVAL_S)
 
-    def _feed(self, duty: Duty, message) -> None:
+    def _feed(self, hosted: HostedDispatcher, message) -> None:
         now = asyncio.get_running_loop().time()
-        for taken in duty.dispatcher.handle(message, now):
-            self._carry_out(duty, taken, now)
+        for action in hosted.dispatcher.handle(message, now):
+            self._execute(hosted, action, now)
 
-    def _carry_out(self, duty: Duty, taken: m.Decision, now: float) -> None:
-        pool = duty.dispatcher.pool_name
-        if isinstance(taken, m.Inquire):
-            self._inquire(duty, taken.instance)
+    def _execute(
+        self, hosted: HostedDispatcher, action: m.Decision, now: float
+    ) -> None:
+        pool = hosted.dispatcher.pool_name
+        if isinstance(action, m.Inquire):
+            self._send_inquiry(hosted, action.instance)
             return
-        if isinstance(taken, m.Conclude):
-            self._tell_rollout(duty, now, taken)
+        if isinstance(action, m.Conclude):
+            self._report_rollout(hosted, now, action)
             return
-        work = taken.work
-        address = duty.addresses.get(work.instance)
+        work = action.work
+        address = hosted.addresses.get(work.instance)
         if address is None:
             return
         fields = {
@@ -485,28 +499,28 @@
             "wait": round(now - work.received, 4),
             "due_in": round(work.due - now, 3),
         }
-        match taken:
+        match action:
             case m.Grant(target=target, candidates=candidates):
                 decision("grant", **fields, target=target, candidates=candidates)
                 waited = now - work.received
-                self._reply(address, PoolGrant(pool, work.ask, target, waited))
+                self._send(address, PoolGrant(pool, work.ask, target, waited))
             case m.Refuse(reason=reason, retry_after=retry_after):
                 decision("refuse", **fields, reason=reason, retry_after=retry_after)
-                self._reply(address, PoolRefuse(pool, work.ask, reason, retry_after))
+                self._send(address, PoolRefuse(pool, work.ask, reason, retry_after))
             case m.Stop(target=target):
                 decision("stop", **fields, target=target)
-                self._reply(address, PoolStop(pool, work.ask))
+                self._send(address, PoolStop(pool, work.ask))
             case m.Lost(target=target):
                 instance = work.instance
                 decision("end-not-told", **fields, target=target, instance=instance)
 
-    def _inquire(self, duty: Duty, instance: str) -> None:
-        address = duty.addresses.get(instance)
+    def _send_inquiry(self, hosted: HostedDispatcher, instance: str) -> None:
+        address = hosted.addresses.get(instance)
         if address:
-            self._reply(address, PoolInquire(duty.dispatcher.pool_name))
+            self._send(address, PoolInquire(hosted.dispatcher.pool_name))
 
-    def _reply(self, address: str, message) -> None:
+    def _send(self, address: str, message) -> None:
         if address == self._address:
-            self._local(Received(address, message))
+            self._deliver_local(Received(address, message))
         else:
             self._links.tell(Send(address, message))
--- a/hibiscusstep/duty.py
+++ b/hibiscusstep/duty.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.duty: a pool's dispatcher as its instance runs it, and its messages."""
+"""hibiscusstep.duty: state of a hosted dispatcher, and conversion of peer messages."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -7,20 +7,22 @@
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.base import PoolDispatcher
 
-__all__ = ["TICK_S", "Duty", "learnt_of", "work_of"]
+__all__ = ["TICK_S", "HostedDispatcher", "to_learnt", "to_work"]
 
-# Between two looks of a dispatcher at what is only a matter of time.
+# Seconds between a dispatcher's ticks, at which it applies timeouts.
 TICK_S = 0.05
 
 
 @dataclass(slots=True, eq=False)
-class Duty:
-    """One pool that falls to this instance.
+class HostedDispatcher:
+    """A pool's dispatcher that this instance runs.
 
-    `registered` are the incarnations that told what they hold, `dropped` those that
-    were taken for dead since. `signed` is when those that wait were last told that they
-    are not forgotten, `sign_interval` the seconds within which they are told again.
-    `rollout_told` is when it was last told how far the pool's order came.
+    `registered` are the incarnations that reported their requests, `dropped` those
+    considered dead since. `addresses` and `heard` are the peer address and the time of
+    the last message of each instance. `signed` is the time of the last keepalives to
+    instances with waiting requests, `sign_interval` the seconds until the next.
+    `told` is the time of the last log of the state, `rollout_told` that of the last
+    report of the rollout's progress.
     """
 
     dispatcher: PoolDispatcher
@@ -36,14 +38,14 @@
     rollout_told: float = 0.0
 
 
-def learnt_of(news: PoolLearnt, old: bool = False) -> m.Learnt:
-    """Return what another instance tells as what a dispatcher takes."""
-    slowness = dict(zip(news.targets, news.slowness, strict=True))
-    return m.Learnt(slowness, news.first, news.token, news.share, old)
+def to_learnt(message: PoolLearnt, old: bool = False) -> m.Learnt:
+    """Convert a peer message into the message that a dispatcher handles."""
+    slowness = dict(zip(message.targets, message.slowness, strict=True))
+    return m.Learnt(slowness, message.first, message.token, message.share, old)
 
 
-def work_of(info: WorkInfo, now: float) -> m.Work:
-    """Return a request as a dispatcher sees it, with times on its clock."""
+def to_work(info: WorkInfo, now: float) -> m.Work:
+    """Convert a request's description, with times on the dispatcher's clock."""
     return m.Work(
         info.ask,
         info.request,
--- a/hibiscusstep/grants.py
+++ b/hibiscusstep/grants.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.grants: what requests of an instance ask for a target, and are told."""
+"""hibiscusstep.grants: messages between an instance's requests and its desk."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,24 +11,24 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantRequest:
-    """A request wants a target.
+    """A request for a grant, that is for a target.
 
     Parameters
     ----------
     pool : str
         The pool.
     work : WorkInfo
-        The request; `ask` and the times are set by the desk.
+        The request's description; the desk sets `ask` and the times.
     deadline : float
-        When the first byte is due, in seconds on the loop's clock.
+        Latest time of the first byte, in seconds on the loop's clock.
     never_shed : bool
-        Whether it waits beyond its deadline.
+        Whether the request keeps waiting beyond its deadline.
     on_stop : callable
-        Called if the granted request must stop.
+        Called if the granted request must be stopped.
     due : float
-        When the first token is on time at the latest, on the loop's clock.
+        Latest time at which the first token is on time, on the loop's clock.
     ends : float
-        When the whole answer must have come, on the loop's clock; 0 if not known.
+        Latest time of the whole answer, on the loop's clock; 0 if not known.
     """
 
     pool: str
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """The request goes to `target`; `ask` names the grant."""
+    """The request is granted `target`; `ask` is the grant's id."""
 
     ask: str
     target: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The request is not run."""
+    """The request is refused; a retry is useful after `retry_after` seconds."""
 
     reason: Reason
     retry_after: float
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The first token of a granted request came."""
+    """The first token of a granted request came `seconds` after its dispatch."""
 
     pool: str
     ask: str
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """A granted request ended."""
+    """A granted request ended; fields as in `routing.messages.Finished`."""
 
     pool: str
     ask: str
--- a/tests/test_dispatching.py
+++ b/tests/test_dispatching.py
@@ -1,11 +1,11 @@
-"""hibiscusstep.dispatching: dispatchers and the views that they act by."""
+"""hibiscusstep.dispatching: hosted dispatchers, views and keepalives."""
 
 import asyncio
 
 import pytest
 
 from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.dispatching import SIGNS_PER_S, Dispatching
+from hibiscusstep.dispatching import KEEPALIVES_PER_S, Dispatching
 from hibiscusstep.mailbox import Tick
 from hibiscusstep.membership.view import Member, View
 from hibiscusstep.membership.worker import ViewChanged
@@ -34,7 +34,7 @@
 
 
 def _view(**incarnations):
-    """Return a view in which `d` dispatches: the others are not ready."""
+    """Return a view in which only `d` is ready, so that it dispatches."""
     members = {
         name: Member(
             name,
@@ -67,31 +67,33 @@
     return worker, links
 
 
-class TestAnInstanceTakenForDead:
-    """Its requests are dropped; if it lives, it does not know of that."""
+class TestInstanceConsideredDead:
+    """Its requests were dropped; if it is still live, it does not know."""
 
-    async def test_is_asked_to_register_again_when_it_is_heard_again(self, dispatching):
+    async def test_is_asked_to_register_when_it_returns(self, dispatching):
         worker, links = dispatching
         await worker.handle(_view(d="d-1"))
         await worker.handle(_view(d="d-1", e="e-1"))
         assert links.sent == [("e:1", NotDispatcher(POOL))]
 
-    async def test_registers_by_itself_after_a_restart(self, dispatching):
+    async def test_is_not_asked_after_a_restart(self, dispatching):
         worker, links = dispatching
         await worker.handle(_view(d="d-1"))
         await worker.handle(_view(d="d-1", e="e-2"))
         assert links.sent == []
 
-    async def test_one_that_was_never_gone_is_left_alone(self, dispatching):
+    async def test_live_instances_are_not_asked(self, dispatching):
         worker, links = dispatching
         await worker.handle(_view(d="d-1", e="e-1", f="f-1"))
         assert links.sent == []
 
 
 class TestOverdueRequests:
-    """An instance that lost its power says nothing, and holds slots."""
+    """Requests of an instance that lost power keep their slots without an end."""
 
-    async def test_their_instance_is_asked_and_the_gauge_shows_them(self, dispatching):
+    async def test_their_instance_is_inquired_and_the_gauge_counts_them(
+        self, dispatching
+    ):
         worker, links = dispatching
         targets = {"t": PlannedTarget(1)}
         await worker.handle(
@@ -104,10 +106,10 @@
         assert [type(message) for _address, message in links.sent] == [PoolGrant]
         assert worker.overdue == {POOL: 0}
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        start = loop.time()
         try:
             for tick in range(1, 14):
-                loop.time = lambda tick=tick: began + 0.05 * tick
+                loop.time = lambda tick=tick: start + 0.05 * tick
                 await worker.handle(Tick())
         finally:
             del loop.time
@@ -115,11 +117,11 @@
         assert worker.overdue == {POOL: 1}
 
 
-class TestSignsOfLife:
-    """Who waits is told so again and again; in overload that is every instance."""
+class TestKeepalives:
+    """Sent to each instance with waiting requests; in overload these are all."""
 
-    async def _signs_in_a_second(self, instances):
-        """Return the signs sent in the second second, with one waiting each."""
+    async def _keepalives_in_a_second(self, instances):
+        """Return the keepalives of the second second, with one request per instance."""
         links = _Links()
         worker = Dispatching(
             "d", "d:1", links, lambda _message: None, None,
@@ -136,24 +138,26 @@
             )
             await worker.handle(Received(f"e{n}:1", PoolAsk(POOL, work)))
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        start = loop.time()
         try:
             for tick in range(41):
                 if tick == 21:
                     links.sent.clear()
-                loop.time = lambda tick=tick: began + 0.05 * tick
+                loop.time = lambda tick=tick: start + 0.05 * tick
                 await worker.handle(Tick())
         finally:
             del loop.time
         return [m for _address, m in links.sent if isinstance(m, PoolQueued)]
 
-    async def test_few_are_told_at_each_tick(self):
-        signs = await self._signs_in_a_second(10)
-        assert len(signs) == 200
-        assert {sign.again_in for sign in signs} == {0.05}
+    async def test_few_instances_get_one_at_each_tick(self):
+        keepalives = await self._keepalives_in_a_second(10)
+        assert len(keepalives) == 200
+        assert {keepalive.again_in for keepalive in keepalives} == {0.05}
 
     @pytest.mark.parametrize("instances", [100, 300, 1000])
-    async def test_however_many_wait_the_signs_are_bounded(self, instances):
-        signs = await self._signs_in_a_second(instances)
-        assert instances <= len(signs) <= 1.1 * SIGNS_PER_S
-        assert {sign.again_in for sign in signs} == {instances / SIGNS_PER_S}
+    async def test_their_rate_is_bounded_for_many_instances(self, instances):
+        keepalives = await self._keepalives_in_a_second(instances)
+        assert instances <= len(keepalives) <= 1.1 * KEEPALIVES_PER_S
+        assert {keepalive.again_in for keepalive in keepalives} == {
+            instances / KEEPALIVES_PER_S
+        }
