--- a/hibiscusstep/__init__.py
+++ b/hibiscusstep/__init__.py
@@ -1,4 +1,4 @@
-"""hibiscusstep: a request scheduler for unlike engines."""
+"""hibiscusstep: a request scheduler for heterogeneous engines."""
 
 __all__ = ["__version__"]
 
--- a/hibiscusstep/admission.py
+++ b/hibiscusstep/admission.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.admission: from a caller's HTTP request to a checked one."""
+"""hibiscusstep.admission: authenticates, routes and validates callers' requests."""
 
 import hashlib
 import itertools
@@ -13,7 +13,7 @@
 from hibiscusstep.problem import Problem
 from hibiscusstep.routing.estimate import PREFIX_SIZES
 
-__all__ = ["Admitted", "CallerHead", "admit", "authenticate", "find_route"]
+__all__ = ["AdmittedRequest", "RequestHead", "admit", "authenticate", "find_route"]
 
 CHAT_PATH = "/v1/chat/completions"
 BYTES_PER_TOKEN = 4
@@ -38,15 +38,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerHead:
+class RequestHead:
     """The head of a caller's HTTP request.
 
     Parameters
     ----------
     method, path : str
-        Of HTTP; the path with its query.
+        HTTP method, and path with its query.
     authorization, key, tier, content_type : str
-        Headers; ``""`` where absent.
+        Header values; ``""`` where absent.
     """
 
     method: str
@@ -58,27 +58,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Admitted:
-    """A checked request.
+class AdmittedRequest:
+    """A validated request.
 
     Parameters
     ----------
     request : str
-        Its id; begins with the instance's name.
+        Id of the request, which starts with the instance's name.
     customer, route_name, tier : str
         Names.
     rank : int
         Rank of the tier, 0 the highest.
     route : Route
-        What may be done with it.
+        Settings of its route.
     head : CallerHead
         Method, path and headers.
     body : bytes
-        Passed on untouched.
+        Forwarded unchanged.
     stream : bool
         Whether the caller wants server-sent events.
     prompt_tokens, output_tokens : int
-        Estimates.
+        Estimated numbers of tokens.
     prefixes : tuple of int
         Hashes of the leading parts of the body, shortest first.
     """
@@ -89,7 +89,7 @@
     route: Route
     tier: str
     rank: int
-    head: CallerHead
+    head: RequestHead
     body: bytes = field(repr=False)
     stream: bool = False
     prompt_tokens: int = 0
@@ -98,44 +98,44 @@
 
     @property
     def keyed(self) -> bool:
-        """Whether its key has to be claimed before it is dispatched."""
+        """Whether its key must be claimed before it is dispatched."""
         return bool(self.head.key) and not self.route.idempotent
 
     @property
     def digest(self) -> bytes:
-        """Digest of customer and key: 16 bytes; a route may be renamed."""
+        """Digest of customer and key, 16 bytes; independent of the route's name."""
         data = f"{self.customer}\0{self.head.key}".encode()
         return hashlib.blake2b(data, digest_size=16).digest()
 
     @property
     def body_digest(self) -> bytes:
-        """Digest of what a repeated key must bring again: 8 bytes."""
+        """Digest of method, path and body, which a repeat must match; 8 bytes."""
         data = f"{self.head.method} {self.head.path}\0".encode() + self.body
         return hashlib.blake2b(data, digest_size=8).digest()
 
 
-def authenticate(head: CallerHead, configuration: Configuration) -> str:
-    """Return the customer whose key the caller presents.
+def authenticate(head: RequestHead, configuration: Configuration) -> str:
+    """Return the customer to whom the caller's key belongs.
 
     Raises
     ------
     Problem
-        401 if there is none.
+        401 if there is no such customer.
     """
     scheme, _, key = head.authorization.partition(" ")
     customer = configuration.by_key_hash.get(hash_key(key.strip()))
     if scheme.lower() != "bearer" or customer is None:
-        raise Problem(401, "unauthorized", "Present a customer's key as Bearer token.")
+        raise Problem(401, "unauthorized", "Send a customer's key as Bearer token.")
     return customer
 
 
-def find_route(head: CallerHead, configuration: Configuration) -> str | None:
-    """Return the route of a path, None where the model decides.
+def find_route(head: RequestHead, configuration: Configuration) -> str | None:
+    """Return the route of a path, None if the request's model selects it.
 
     Raises
     ------
     Problem
-        404 if there is none, 405 if the method does not fit.
+        404 if there is none, 405 if the method is not allowed.
     """
     path = head.path.partition("?")[0]
     if path == CHAT_PATH:
@@ -152,16 +152,16 @@
     instance: str,
     customer: str,
     route_name: str | None,
-    head: CallerHead,
+    head: RequestHead,
     body: bytes,
     configuration: Configuration,
-) -> Admitted:
-    """Return the checked request.
+) -> AdmittedRequest:
+    """Validate a request and return it with its route, tier and estimates.
 
     Raises
     ------
     Problem
-        400, 403, 404 or 413: not run, with what to mend.
+        400, 403, 404 or 413 with the fault in the request, which is not run.
     """
     chat = None
     if route_name is None:
@@ -173,8 +173,8 @@
     _check_key(head, route)
     if len(body) > route.max_body:
         raise Problem(413, "too-large", f"The body is over {route.max_body} bytes.")
-    tier = _choose_tier(head, customer, route, configuration)
-    admitted = Admitted(
+    tier = _select_tier(head, customer, route, configuration)
+    admitted = AdmittedRequest(
         f"{instance}-{uuid.uuid4().hex}",
         customer,
         route_name,
@@ -192,11 +192,11 @@
         return _ChatRequest.model_validate_json(body)
     except ValidationError as cause:
         first = cause.errors(include_input=False, include_url=False)[0]
-        place = ".".join(str(part) for part in first["loc"]) or "body"
-        raise Problem(400, "malformed", f"{place}: {first['msg']}"[:300]) from None
+        location = ".".join(str(part) for part in first["loc"]) or "body"
+        raise Problem(400, "malformed", f"{location}: {first['msg']}"[:300]) from None
 
 
-def _check_key(head: CallerHead, route: Route) -> None:
+def _check_key(head: RequestHead, route: Route) -> None:
     if route.key == "required" and not head.key:
         detail = "This route needs an Idempotency-Key header; it was not run."
         raise Problem(400, "key-required", detail)
@@ -205,7 +205,7 @@
         raise Problem(400, "malformed", detail)
 
 
-def _choose_tier(head, customer: str, route: Route, configuration) -> str:
+def _select_tier(head, customer: str, route: Route, configuration) -> str:
     settings = configuration.customers[customer]
     allowed = {settings.tier, *settings.tiers}
     if head.tier and head.tier not in allowed:
@@ -214,7 +214,7 @@
     return head.tier or route.tier or settings.tier
 
 
-def _with_estimates(admitted: Admitted, chat: _ChatRequest) -> Admitted:
+def _with_estimates(admitted: AdmittedRequest, chat: _ChatRequest) -> AdmittedRequest:
     texts = [str(message.content or "") for message in chat.messages]
     prompt = "\n".join(texts).encode()
     return replace(
@@ -228,8 +228,8 @@
 
 def _prefix_hashes(prompt: bytes):
     sizes = (size * BYTES_PER_TOKEN for size in PREFIX_SIZES)
-    running, done = xxhash.xxh64(), 0
+    hasher, hashed = xxhash.xxh64(), 0
     for size in itertools.takewhile(lambda size: size <= len(prompt), sizes):
-        running.update(prompt[done:size])
-        done = size
-        yield running.intdigest() >> 1
+        hasher.update(prompt[hashed:size])
+        hashed = size
+        yield hasher.intdigest() >> 1
--- a/hibiscusstep/answers.py
+++ b/hibiscusstep/answers.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.answers: what became of this instance's attempts with a key."""
+"""hibiscusstep.answers: keeps the outcomes of attempts with an idempotency key."""
 
 import enum
 import itertools
@@ -14,7 +14,7 @@
 __all__ = [
     "AnswerKeeper",
     "AnswerState",
-    "AttemptBegun",
+    "AttemptStarted",
     "AttemptEnded",
     "FetchAnswer",
     "KeptAnswer",
@@ -24,7 +24,11 @@
 
 
 class AnswerState(enum.StrEnum):
-    """What is known of an attempt."""
+    """State of an attempt's answer.
+
+    `DEAD` attempts were never dispatched. Of `GONE` attempts the answer is not kept.
+    `UNREACHABLE` ones belong to an instance that is dead or does not reply.
+    """
 
     RUNNING = "running"
     KEPT = "kept"
@@ -35,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeptAnswer:
-    """What became of an attempt, and its answer if it was kept."""
+    """Outcome of an attempt, with its answer if it was kept."""
 
     state: AnswerState
     status: int = 0
@@ -44,8 +48,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptBegun:
-    """An attempt with a key is on its way to its claim."""
+class AttemptStarted:
+    """An attempt with a key is about to be claimed."""
 
     digest: bytes
     attempt: str
@@ -53,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt ended: its answer was kept, or it is dead, or no answer is left."""
+    """An attempt ended: its answer was kept, it is dead, or its answer is gone."""
 
     attempt: str
     answer: KeptAnswer
@@ -61,12 +65,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchAnswer:
-    """What became of an attempt of an instance? Waits while it runs.
+    """A question for the outcome of an attempt; the reply waits while it runs.
 
     Parameters
     ----------
     holder, incarnation, attempt : str
-        Who held it and which.
+        The instance that ran it, its incarnation, and the attempt.
     """
 
     holder: str
@@ -81,16 +85,16 @@
 
 
 class AnswerKeeper(Worker):
-    """Keeps answers to repeated keys, bounded in bytes, and asks peers for theirs.
+    """Keeps answers for repeated keys up to a size limit, and fetches them from peers.
 
     Parameters
     ----------
     name, incarnation, address : str
         Own name, incarnation and peer address.
     links : Worker
-        Sends to peers.
+        Sends messages to peers.
     max_bytes : int
-        Memory for kept answers; the oldest go first.
+        Limit of the kept answers' size; the oldest are evicted first.
     """
 
     def __init__(self, name, incarnation, address, links, max_bytes: int) -> None:
@@ -103,51 +107,51 @@
         self._bytes = 0
         self._view = View()
         self._attempts: OrderedDict[str, _Attempt] = OrderedDict()
-        self._asked: dict[str, Question] = {}
-        self._numbers = itertools.count()
+        self._pending_fetches: dict[str, Question] = {}
+        self._fetch_numbers = itertools.count()
 
     async def handle(self, message) -> None:
-        """Take a beginning, an end, a question, or a peer's question or reply."""
+        """Handle a start or end of an attempt, a fetch, a peer's message or a view."""
         match message:
-            case AttemptBegun(attempt=attempt):
+            case AttemptStarted(attempt=attempt):
                 self._attempts[attempt] = _Attempt()
-                self._bound()
+                self._evict()
             case AttemptEnded(attempt=attempt, answer=answer):
-                self._end(attempt, answer)
+                self._finish(attempt, answer)
             case Question(body=FetchAnswer() as fetch):
                 self._fetch(message, fetch)
             case Received(sender=sender, message=AnswerAsk(number, attempt)):
-                self._when_known(attempt, _ReplyTo(self, sender, number))
+                self._reply_when_finished(attempt, _PeerQuestion(self, sender, number))
             case Received(message=AnswerReply() as reply):
-                self._take_reply(reply)
+                self._handle_reply(reply)
             case ViewChanged(view=view):
                 self._view = view
-                self._give_up_on_gone()
+                self._fail_lost_fetches()
 
-    def _end(self, attempt: str, answer: KeptAnswer) -> None:
+    def _finish(self, attempt: str, answer: KeptAnswer) -> None:
         entry = self._attempts.setdefault(attempt, _Attempt())
         entry.answer = answer
         self._bytes += len(answer.body)
         for waiting in entry.waiting:
             waiting.reply(answer)
         entry.waiting = []
-        self._bound()
+        self._evict()
 
-    def _bound(self) -> None:
-        """Forget the oldest bodies and attempts; what runs is never forgotten."""
+    def _evict(self) -> None:
+        """Evict the oldest answers and attempts, but never running attempts."""
         for attempt, entry in list(self._attempts.items()):
-            crowded = len(self._attempts) > MAX_ATTEMPTS
-            if self._bytes <= self._max_bytes and not crowded:
+            too_many = len(self._attempts) > MAX_ATTEMPTS
+            if self._bytes <= self._max_bytes and not too_many:
                 return
             if entry.answer is None:
                 continue
             self._bytes -= len(entry.answer.body)
-            if crowded:
+            if too_many:
                 del self._attempts[attempt]
             elif entry.answer.body:
                 entry.answer = KeptAnswer(AnswerState.GONE)
 
-    def _when_known(self, attempt: str, waiting) -> None:
+    def _reply_when_finished(self, attempt: str, waiting) -> None:
         entry = self._attempts.get(attempt)
         if entry is None:
             waiting.reply(KeptAnswer(AnswerState.GONE))
@@ -158,19 +162,19 @@
 
     def _fetch(self, question: Question, fetch: FetchAnswer) -> None:
         if fetch.incarnation == self._incarnation:
-            self._when_known(fetch.attempt, question)
+            self._reply_when_finished(fetch.attempt, question)
         elif not self._view.holds(fetch.holder, fetch.incarnation):
             question.reply(KeptAnswer(AnswerState.UNREACHABLE))
         else:
-            number = f"{self._incarnation}.{next(self._numbers)}"
-            self._asked[number] = question
+            number = f"{self._incarnation}.{next(self._fetch_numbers)}"
+            self._pending_fetches[number] = question
             address = self._view.members[fetch.holder].peer_address
             self._links.tell(Send(address, AnswerAsk(number, fetch.attempt)))
 
-    def _take_reply(self, reply: AnswerReply) -> None:
-        asking = self._asked.pop(reply.number, None)
-        if asking:
-            asking.reply(
+    def _handle_reply(self, reply: AnswerReply) -> None:
+        pending = self._pending_fetches.pop(reply.number, None)
+        if pending:
+            pending.reply(
                 KeptAnswer(
                     AnswerState(reply.state),
                     reply.status,
@@ -179,15 +183,15 @@
                 )
             )
 
-    def _give_up_on_gone(self) -> None:
-        for number, asking in list(self._asked.items()):
-            fetch = asking.body
+    def _fail_lost_fetches(self) -> None:
+        for number, pending in list(self._pending_fetches.items()):
+            fetch = pending.body
             if not self._view.holds(fetch.holder, fetch.incarnation):
-                del self._asked[number]
-                asking.reply(KeptAnswer(AnswerState.UNREACHABLE))
+                del self._pending_fetches[number]
+                pending.reply(KeptAnswer(AnswerState.UNREACHABLE))
 
     def send_reply(self, sender: str, number: str, answer: KeptAnswer) -> None:
-        """Send what became of an attempt to the peer that asked."""
+        """Send the outcome of an attempt to the peer that asked for it."""
         reply = AnswerReply(
             number, answer.state, answer.status, answer.content_type, answer.body
         )
@@ -195,7 +199,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _ReplyTo:
+class _PeerQuestion:
     keeper: AnswerKeeper
     sender: str
     number: str
--- a/hibiscusstep/caller.py
+++ b/hibiscusstep/caller.py
@@ -1,39 +1,39 @@
-"""hibiscusstep.caller: the HTTP border towards callers."""
+"""hibiscusstep.caller: the HTTP server for callers."""
 
 import asyncio
 
 from aiohttp import web
 
-from hibiscusstep.admission import CallerHead, admit, authenticate, find_route
+from hibiscusstep.admission import RequestHead, admit, authenticate, find_route
 from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.delivery import Delivery, Services
+from hibiscusstep.delivery import Delivery, DeliveryServices
 from hibiscusstep.metrics import Metrics
 from hibiscusstep.problem import Outcome, Problem
-from hibiscusstep.sink import Sink
+from hibiscusstep.sink import AnswerSink
 
 __all__ = ["CallerBorder"]
 
-HARD_MAX_BODY = 64 << 20
+MAX_BODY_BYTES = 64 << 20
 
 
 class CallerBorder:
-    """Takes callers' requests and starts a delivery for each.
+    """Admits callers' requests and runs a delivery for each.
 
     Parameters
     ----------
-    services : Services
-        What deliveries use.
+    services : DeliveryServices
+        Components that deliveries share.
     metrics : Metrics
-        Gets the counts.
+        Receives the counts.
     body_timeout : float
-        Seconds for a caller to send its body.
+        Seconds within which a caller must send its body.
     max_open : int
-        Requests held at once; more are refused.
+        Limit of open requests; more are refused.
     """
 
     def __init__(
         self,
-        services: Services,
+        services: DeliveryServices,
         metrics: Metrics,
         body_timeout: float,
         max_open: int,
@@ -42,7 +42,7 @@
         self._metrics = metrics
         self._body_timeout = body_timeout
         self._max_open = max_open
-        self._admitting = 0
+        self._being_admitted = 0
         self._in_force = InForce()
         self._draining = False
         self._open: set[asyncio.Task] = set()
@@ -51,82 +51,84 @@
 
     @property
     def open_requests(self) -> int:
-        """Requests without their whole answer yet."""
+        """Number of requests whose answer is not complete."""
         return len(self._open)
 
     def take(self, in_force: InForce) -> None:
-        """Act by a configuration from the next request on."""
+        """Use a configuration for all later requests."""
         self._in_force = in_force
 
     def drain(self) -> None:
-        """Refuse new requests from now on."""
+        """Refuse new requests."""
         self._draining = True
 
     async def wait_idle(self) -> None:
-        """Return when no request is open."""
+        """Wait until no request is open."""
         await self._idle.wait()
 
     def cut(self) -> list[str]:
-        """Cancel what is open; return the names of what was cut."""
+        """Cancel all open requests and return their ids."""
         names = [task.get_name() for task in self._open]
         for task in self._open:
             task.cancel()
         return names
 
     def app(self) -> web.Application:
-        """Return the application."""
-        app = web.Application(client_max_size=HARD_MAX_BODY)
-        app.router.add_route("*", "/{path:.*}", self._handle)
+        """Return the web application."""
+        app = web.Application(client_max_size=MAX_BODY_BYTES)
+        app.router.add_route("*", "/{path:.*}", self._handle_request)
         return app
 
-    async def _handle(self, request: web.Request) -> web.StreamResponse:
-        started = asyncio.get_running_loop().time()
-        sink = Sink(request, f"{self._services.name}-refused", keep=False)
-        self._admitting += 1
+    async def _handle_request(self, request: web.Request) -> web.StreamResponse:
+        received_at = asyncio.get_running_loop().time()
+        sink = AnswerSink(request, f"{self._services.name}-refused", keep=False)
+        self._being_admitted += 1
         try:
             delivery, sink = await self._admit(request)
         except Problem as problem:
             self._count("", "", problem.name)
-            await sink.problem(problem)
+            await sink.send_problem(problem)
             return sink.response
         finally:
-            self._admitting -= 1
+            self._being_admitted -= 1
         task = asyncio.create_task(delivery.run(), name=delivery.admitted.request)
         self._track(task)
         try:
             await asyncio.shield(task)
         except asyncio.CancelledError:
             if not task.done():
-                delivery.caller_left()
+                delivery.on_caller_disconnected()
             raise
         admitted = delivery.admitted
         self._count(admitted.tier, admitted.route_name, str(sink.response.status))
-        waited = sink.begun_at - started
-        self._metrics.first_byte.observe({"tier": admitted.tier}, waited)
+        first_byte_seconds = sink.started_at - received_at
+        self._metrics.first_byte.observe({"tier": admitted.tier}, first_byte_seconds)
         return sink.response
 
-    async def _admit(self, request: web.Request) -> tuple[Delivery, Sink]:
+    async def _admit(self, request: web.Request) -> tuple[Delivery, AnswerSink]:
         configuration = self._in_force.configuration
         if self._draining or configuration is None:
-            why = "is shutting down" if self._draining else "has no configuration yet"
+            reason = (
+                "is shutting down" if self._draining else "has no configuration yet"
+            )
             raise Problem(
                 503,
                 "not-ready",
-                f"This instance {why}; it was not run.",
+                f"This instance {reason}; it was not run.",
                 Outcome.NOT_RUN,
                 1.0,
             )
-        if len(self._open) + self._admitting > self._max_open:
-            detail = "This instance holds as many requests as it may."
+        if len(self._open) + self._being_admitted > self._max_open:
+            detail = "This instance has reached its limit of open requests."
             raise Problem(503, "instance-full", detail, Outcome.NOT_RUN, 1.0)
-        head = _head(request)
+        head = _request_head(request)
         customer = authenticate(head, configuration)
         route_name = find_route(head, configuration)
         body = await self._read_body(request)
         admitted = admit(
             self._services.name, customer, route_name, head, body, configuration
         )
-        sink = Sink(request, admitted.request, keep=admitted.keyed)
+        sink = AnswerSink(request, admitted.request, keep=admitted.keyed)
         return Delivery(admitted, sink, self._services, configuration), sink
 
     async def _read_body(self, request: web.Request) -> bytes:
@@ -134,7 +136,7 @@
             async with asyncio.timeout(self._body_timeout):
                 return await request.read()
         except TimeoutError:
-            detail = "The body did not come in time."
+            detail = "The body was not received in time."
             raise Problem(408, "body-timeout", detail) from None
         except web.HTTPRequestEntityTooLarge:
             raise Problem(413, "too-large", "The body is too large.") from None
@@ -156,9 +158,9 @@
         self._metrics.requests.inc(labels)
 
 
-def _head(request: web.Request) -> CallerHead:
+def _request_head(request: web.Request) -> RequestHead:
     headers = request.headers
-    return CallerHead(
+    return RequestHead(
         request.method,
         request.raw_path,
         headers.get("Authorization", ""),
--- a/hibiscusstep/continuation.py
+++ b/hibiscusstep/continuation.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.continuation: a stream that broke, taken up by a second answer."""
+"""hibiscusstep.continuation: continues an interrupted stream with a second answer."""
 
 import itertools
 from collections.abc import Iterator
@@ -8,35 +8,35 @@
 __all__ = ["Continuation", "contents"]
 
 EVENT_END = b"\n\n"
-PREFIX = b"data: "
+DATA_PREFIX = b"data: "
 
 
 def contents(events: bytes) -> Iterator[str]:
-    """Yield the text of each whole event, ``""`` for one without text."""
+    """Yield the text of each complete event, ``""`` for one without text."""
     for event in events.split(EVENT_END)[:-1]:
-        yield _content(event)
+        yield _event_text(event)
 
 
-def _content(event: bytes) -> str:
-    if not event.startswith(PREFIX) or event == PREFIX + b"[DONE]":
+def _event_text(event: bytes) -> str:
+    if not event.startswith(DATA_PREFIX) or event == DATA_PREFIX + b"[DONE]":
         return ""
     try:
-        choice = orjson.loads(event[len(PREFIX) :])["choices"][0]
+        choice = orjson.loads(event[len(DATA_PREFIX) :])["choices"][0]
         return choice["delta"].get("content") or ""
     except (orjson.JSONDecodeError, KeyError, IndexError, TypeError):
         return ""
 
 
 class Continuation:
-    """Drops from a second answer what the caller has of the first.
+    """Removes from a second answer the events that the caller has from the first.
 
-    The second answer must begin with the same events, text for text; then the
-    caller gets one whole answer. If it does not, `fits` turns False.
+    The second answer must start with events of the same texts, so that the caller gets
+    one complete answer. If it does not, `fits` becomes False.
 
     Parameters
     ----------
     sent : bytes
-        Whole events that the caller has.
+        Complete events that the caller has.
     """
 
     def __init__(self, sent: bytes) -> None:
@@ -46,7 +46,7 @@
 
     @property
     def caught_up(self) -> bool:
-        """Whether all that the caller has was met."""
+        """Whether the second answer has reached the end of the caller's events."""
         return self._position >= len(self._expected)
 
     def rest(self, events: bytes) -> bytes:
@@ -54,10 +54,11 @@
         if self.caught_up:
             return events
         parts = events.split(EVENT_END)[:-1]
-        known = self._expected[self._position : self._position + len(parts)]
+        expected = self._expected[self._position : self._position + len(parts)]
         self.fits = self.fits and all(
-            _content(part) == text for part, text in zip(parts, known, strict=False)
+            _event_text(part) == text
+            for part, text in zip(parts, expected, strict=False)
         )
-        self._position += len(known)
-        new = itertools.islice(parts, len(known), None)
+        self._position += len(expected)
+        new = itertools.islice(parts, len(expected), None)
         return b"".join(part + EVENT_END for part in new)
--- a/hibiscusstep/delivery.py
+++ b/hibiscusstep/delivery.py
@@ -1,13 +1,13 @@
-"""hibiscusstep.delivery: one accepted request, from its grant to its whole answer."""
+"""hibiscusstep.delivery: runs one admitted request until its answer is complete."""
 
 import asyncio
 import enum
 import logging
 from dataclasses import dataclass
 
-from hibiscusstep.admission import Admitted
+from hibiscusstep.admission import AdmittedRequest
 from hibiscusstep.answers import AnswerState, KeptAnswer
-from hibiscusstep.attempt import Attempt, TryElsewhere
+from hibiscusstep.attempt import Attempt, RetryElsewhere
 from hibiscusstep.configuration.models import Configuration
 from hibiscusstep.desk import Desk
 from hibiscusstep.events import EventKind, NullRecorder
@@ -18,42 +18,42 @@
 from hibiscusstep.peer import WorkInfo
 from hibiscusstep.problem import Problem
 from hibiscusstep.progress import Progress
-from hibiscusstep.routing.messages import Outcome as Ending
+from hibiscusstep.routing.messages import Outcome as TargetOutcome
 from hibiscusstep.routing.messages import Reason
 from hibiscusstep.routing.retries import RetryBudget
-from hibiscusstep.sink import Sink
+from hibiscusstep.sink import AnswerSink
 
-__all__ = ["Delivery", "Services"]
+__all__ = ["Delivery", "DeliveryServices"]
 
 _LOG = logging.getLogger(__name__)
 
 
 class _Interrupt(enum.Enum):
     NONE = enum.auto()
-    CALLER_LEFT = enum.auto()
+    CALLER_DISCONNECTED = enum.auto()
     STOPPED = enum.auto()
 
 
 @dataclass(frozen=True, slots=True)
-class Services:
-    """What deliveries use.
+class DeliveryServices:
+    """Components that deliveries share.
 
     Parameters
     ----------
     name : str
-        The instance.
+        The instance's name.
     desk : Desk
-        Gets grants.
+        Requests grants.
     keys : KeyGuard
         Claims keys and fetches earlier answers.
     sessions : TargetSessions
         Connections to targets.
     recorder : NullRecorder
-        Gets the history.
+        Records the history.
     explainer : Explainer
-        Remembers what was decided.
+        Stores decisions for operators.
     retries : RetryBudget
-        Bounds repeats after failures.
+        Limits retries after failures.
     """
 
     name: str
@@ -66,25 +66,25 @@
 
 
 class Delivery:
-    """Brings one request to its answer, a refusal, or an honest *unknown*.
+    """Runs one request until it is answered, refused or its outcome is unknown.
 
     Parameters
     ----------
-    admitted : Admitted
+    admitted : AdmittedRequest
         The request.
-    sink : Sink
-        Where the answer goes.
-    services : Services
-        What it uses.
+    sink : AnswerSink
+        Receives the answer.
+    services : DeliveryServices
+        Shared components.
     configuration : Configuration
-        In force when it was admitted.
+        The configuration in force when the request was admitted.
     """
 
     def __init__(
         self,
-        admitted: Admitted,
-        sink: Sink,
-        services: Services,
+        admitted: AdmittedRequest,
+        sink: AnswerSink,
+        services: DeliveryServices,
         configuration: Configuration,
     ) -> None:
         self._admitted = admitted
@@ -95,90 +95,92 @@
             admitted, configuration, services.recorder, services.explainer
         )
         self._interrupt = _Interrupt.NONE
-        self._scope: asyncio.Timeout | None = None
-        self._claiming = False
-        self._avoid: list[str] = []
-        self._received = asyncio.get_running_loop().time()
+        self._timeout: asyncio.Timeout | None = None
+        self._claim_started = False
+        self._failed_targets: list[str] = []
+        self._received_at = asyncio.get_running_loop().time()
 
     @property
-    def admitted(self) -> Admitted:
+    def admitted(self) -> AdmittedRequest:
         """The request."""
         return self._admitted
 
     async def run(self) -> None:
-        """Do it; every path ends with one answer."""
+        """Run the request; every path sends exactly one answer."""
         self._progress.record(EventKind.RECEIVED, detail=self._admitted.head.tier)
         try:
-            await self._answer()
+            await self._run_and_report()
         except ConnectionError:
             self._progress.record(EventKind.CANCELLED, detail="caller left")
         finally:
-            if self._claiming:
-                self._end_claim()
+            if self._claim_started:
+                self._finish_claim()
 
-    async def _answer(self) -> None:
+    async def _run_and_report(self) -> None:
         try:
-            await self._run()
+            await self._run_attempts()
         except Problem as problem:
             self._progress.end(problem)
-            await self._sink.problem(problem)
+            await self._sink.send_problem(problem)
         except ConnectionError:
             raise
         except Exception:
             _LOG.exception("delivery failed", extra={"request": self.admitted.request})
             problem = self._progress.internal()
             self._progress.end(problem)
-            await self._sink.problem(problem)
+            await self._sink.send_problem(problem)
 
-    def _end_claim(self) -> None:
+    def _finish_claim(self) -> None:
         sink = self._sink
-        kept = None
-        if self._progress.complete and sink.sent is not None:
-            kept = KeptAnswer(
-                AnswerState.KEPT, sink.status, sink.content_type, sink.sent
+        kept_answer = None
+        if self._progress.complete and sink.written is not None:
+            kept_answer = KeptAnswer(
+                AnswerState.KEPT, sink.status, sink.content_type, sink.written
             )
-        self._services.keys.end(self._admitted, self._progress.dispatched, kept)
+        self._services.keys.publish_outcome(
+            self._admitted, self._progress.dispatched, kept_answer
+        )
 
-    def caller_left(self) -> None:
-        """Go on without the caller if the answer is kept for a repeat, else end."""
+    def on_caller_disconnected(self) -> None:
+        """Continue if the answer is kept for a repeat of the key, else cancel."""
         self._sink.detached = True
         if not (self._admitted.keyed and self._progress.dispatched):
-            self._end_now(_Interrupt.CALLER_LEFT)
+            self._cancel_with(_Interrupt.CALLER_DISCONNECTED)
 
     def stop(self) -> None:
-        """End to make way for a higher tier."""
-        self._end_now(_Interrupt.STOPPED)
+        """Cancel in favour of a higher tier."""
+        self._cancel_with(_Interrupt.STOPPED)
 
-    def _end_now(self, why: _Interrupt) -> None:
+    def _cancel_with(self, interrupt: _Interrupt) -> None:
         if self._interrupt is _Interrupt.NONE:
-            self._interrupt = why
-        if self._scope is not None:
-            self._scope.reschedule(asyncio.get_running_loop().time())
+            self._interrupt = interrupt
+        if self._timeout is not None:
+            self._timeout.reschedule(asyncio.get_running_loop().time())
 
-    async def _run(self) -> None:
+    async def _run_attempts(self) -> None:
         admitted = self._admitted
         self._services.retries.first_try()
         try:
-            async with asyncio.timeout(admitted.route.answer_timeout) as self._scope:
-                if admitted.keyed and await self._answered_before():
+            async with asyncio.timeout(admitted.route.answer_timeout) as self._timeout:
+                if admitted.keyed and await self._replay_earlier():
                     return
                 for number in range(1, admitted.route.max_attempts + 1):
-                    if await self._attempt(number):
+                    if await self._try_target(number):
                         return
         except TimeoutError:
-            raise self._interrupted() from None
+            raise self._interrupt_problem() from None
         finally:
-            self._scope = None
-        raise self._progress.failed("No target gave a whole answer.")
+            self._timeout = None
+        raise self._progress.failed("No target gave a complete answer.")
 
-    async def _answered_before(self) -> bool:
-        """Answer from an earlier attempt with the key, if there was one."""
+    async def _replay_earlier(self) -> bool:
+        """Replay the answer of an earlier attempt with the key, if there was one."""
         earlier = await self._services.keys.look_up(self._admitted)
-        return earlier is not None and await self._replay(earlier)
+        return earlier is not None and await self._send_replay(earlier)
 
-    async def _replay(self, earlier) -> bool:
+    async def _send_replay(self, earlier) -> bool:
         self._progress.explain("replayed", state=earlier.state)
-        await self._sink.whole(
+        await self._sink.send_whole(
             earlier.status,
             earlier.content_type,
             earlier.body,
@@ -187,27 +189,31 @@
         self._progress.record(EventKind.ANSWERED, detail="replayed")
         return True
 
-    async def _attempt(self, number: int) -> bool:
-        """Try one target; False if another may be tried."""
-        granted = await self._place()
-        run = self._make_attempt(number, granted)
+    async def _try_target(self, number: int) -> bool:
+        """Try one target; return False if another may be tried."""
+        granted = await self._request_grant()
+        attempt = self._make_attempt(number, granted)
         try:
             if self._admitted.keyed:
-                self._claiming = True
+                self._claim_started = True
                 earlier = await self._services.keys.claim(self._admitted)
                 if earlier is not None:
-                    run.finish(Ending.UNUSED)
-                    return await self._replay(earlier)
-            await run.dispatch()
+                    attempt.finish(TargetOutcome.UNUSED)
+                    return await self._send_replay(earlier)
+            await attempt.dispatch()
             return True
-        except TryElsewhere as ended:
-            if ended.failed and not self._services.retries.take():
-                detail = "The target failed, and too many requests are repeated now."
+        except RetryElsewhere as error:
+            if error.target_failed and not self._services.retries.take():
+                detail = "The target failed, and the retry budget is used up."
                 raise self._progress.failed(detail) from None
-            self._avoid.append(granted.target)
+            self._failed_targets.append(granted.target)
             return False
         finally:
-            run.finish(Ending.CANCELLED if self._progress.dispatched else Ending.UNUSED)
+            attempt.finish(
+                TargetOutcome.CANCELLED
+                if self._progress.dispatched
+                else TargetOutcome.UNUSED
+            )
 
     def _make_attempt(self, number: int, granted: Granted) -> Attempt:
         return Attempt(
@@ -221,19 +227,19 @@
             self._services.sessions,
         )
 
-    async def _place(self) -> Granted:
+    async def _request_grant(self) -> Granted:
         admitted = self._admitted
         rule = self._configuration.rule(admitted.tier)
-        wanted = GrantRequest(
+        grant_request = GrantRequest(
             admitted.route.pool,
-            self._work(),
-            self._received + admitted.route.deadline,
+            self._work_info(),
+            self._received_at + admitted.route.deadline,
             not rule.may_be_shed,
             self.stop,
         )
         self._progress.record(EventKind.QUEUED)
         try:
-            reply = await self._services.desk.ask(wanted)
+            reply = await self._services.desk.ask(grant_request)
         except MailboxFull:
             reply = Refused(Reason.LOAD, 1.0)
         if isinstance(reply, Refused):
@@ -244,7 +250,7 @@
         self._progress.explain("granted", target=reply.target)
         return reply
 
-    def _work(self) -> WorkInfo:
+    def _work_info(self) -> WorkInfo:
         admitted = self._admitted
         return WorkInfo(
             "",
@@ -259,13 +265,13 @@
             0.0,
             self._progress.stoppable,
             list(admitted.prefixes),
-            list(self._avoid),
+            list(self._failed_targets),
         )
 
-    def _interrupted(self) -> Problem:
+    def _interrupt_problem(self) -> Problem:
         makers = {
             _Interrupt.STOPPED: self._progress.stopped,
-            _Interrupt.CALLER_LEFT: self._progress.caller_left,
+            _Interrupt.CALLER_DISCONNECTED: self._progress.caller_left,
             _Interrupt.NONE: self._progress.timed_out,
         }
         return makers[self._interrupt]()
--- a/hibiscusstep/entry.py
+++ b/hibiscusstep/entry.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.entry: one instance: its tasks, how they are joined, its end."""
+"""hibiscusstep.entry: one instance: its tasks, their wiring and its shutdown."""
 
 import asyncio
 import logging
@@ -15,7 +15,7 @@
 from hibiscusstep.configuration.in_force import InForce
 from hibiscusstep.configuration.keeper import ConfigurationKeeper
 from hibiscusstep.configuration.settings import Settings
-from hibiscusstep.delivery import Services
+from hibiscusstep.delivery import DeliveryServices
 from hibiscusstep.desk import Desk
 from hibiscusstep.dispatching import Dispatching
 from hibiscusstep.events import EventKind, NullRecorder, Recorder
@@ -64,14 +64,14 @@
 
 
 class Entry:
-    """One instance of the system.
+    """One instance of the scheduler.
 
     Parameters
     ----------
     settings : Settings
-        Of this instance.
+        The settings of this instance.
     platform : Platform or None
-        The platform; by default the one that the settings name.
+        The platform; None selects the one named in the settings.
     """
 
     def __init__(self, settings: Settings, platform: Platform | None = None) -> None:
@@ -83,7 +83,7 @@
         self._view = View()
         self._in_force = InForce()
         self._draining = False
-        self._status_asked: dict[str, asyncio.Future] = {}
+        self._pending_status: dict[str, asyncio.Future] = {}
         self._recorder = self._make_recorder()
         self._explainer = Explainer()
         self._metrics = Metrics()
@@ -106,7 +106,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer may send callers here."""
+        """Whether the load balancer may send callers to this instance."""
         return self._in_force.version > 0 and not self._draining
 
     @property
@@ -131,13 +131,13 @@
             await self._platform.close()
             self._recorder.close()
 
-    async def drain(self, spent: float = 0.0) -> None:
-        """Take no new requests and return when all answers are whole.
+    async def drain(self, elapsed: float = 0.0) -> None:
+        """Refuse new requests and return when all answers are complete.
 
         Parameters
         ----------
         spent : float
-            Seconds since the instance was told to stop.
+            Seconds since the instance was asked to stop.
         """
         _LOG.info("draining", extra={"open": self._border.open_requests})
         self._recorder.record(EventKind.SHUTDOWN_ASKED)
@@ -146,19 +146,19 @@
         await asyncio.sleep(READINESS_PAUSE_S)
         self._border.drain()
         try:
-            async with asyncio.timeout(self._settings.drain_timeout - spent):
+            async with asyncio.timeout(self._settings.drain_timeout - elapsed):
                 await self._border.wait_idle()
         except TimeoutError:
             self.cut("drain_timeout passed")
         self._recorder.record(EventKind.SHUTDOWN_DONE)
 
-    def cut(self, why: str) -> None:
-        """End what is open and say what it was."""
+    def cut(self, reason: str) -> None:
+        """Cancel all open requests and log their ids."""
         names = self._border.cut()
-        _LOG.warning("cut", extra={"why": why, "requests": names})
+        _LOG.warning("cut", extra={"why": reason, "requests": names})
 
     def reload(self) -> None:
-        """Say that settings are read at a start only."""
+        """Log that settings are not reloaded."""
         _LOG.warning("settings not reloaded: they are read at a start only")
 
     def _make_recorder(self) -> NullRecorder:
@@ -171,7 +171,7 @@
     def _make_workers(self) -> None:
         settings, name = self._settings, self._settings.name
         address = settings.peer_address
-        self._links = PeerLinks(address, settings.peer_key, self._route)
+        self._links = PeerLinks(address, settings.peer_key, self._deliver)
         self._membership = Membership(
             settings, self._incarnation, self._links, self._platform, self._on_view
         )
@@ -182,17 +182,17 @@
             name,
             address,
             self._links,
-            self._route,
+            self._deliver,
             self._sessions,
             tier_guard=settings.tier_guard_enabled,
             kind=Dispatcher,
         )
-        self._desk = Desk(name, self._incarnation, address, self._links, self._route)
+        self._desk = Desk(name, self._incarnation, address, self._links, self._deliver)
         self._claim_writer = ClaimWriter(
-            name, address, self._platform, self._links, self._route
+            name, address, self._platform, self._links, self._deliver
         )
         self._claimer = Claimer(
-            name, self._incarnation, address, self._links, self._route
+            name, self._incarnation, address, self._links, self._deliver
         )
         self._answers = AnswerKeeper(
             name, self._incarnation, address, self._links, settings.kept_answer_bytes
@@ -207,17 +207,17 @@
             self._claimer,
             self._answers,
         ]
-        self._make_borders()
-        self._receivers = self._make_routes()
+        self._make_servers()
+        self._receivers = self._make_receivers()
 
-    def _make_borders(self) -> None:
+    def _make_servers(self) -> None:
         keys = KeyGuard(
             self._claimer,
             self._answers,
             self._recorder,
             enabled=self._settings.claims_enabled,
         )
-        services = Services(
+        services = DeliveryServices(
             self._settings.name,
             self._desk,
             keys,
@@ -239,8 +239,8 @@
             self._metrics,
         )
 
-    def _make_routes(self) -> dict[type, Worker]:
-        table = {
+    def _make_receivers(self) -> dict[type, Worker]:
+        types_by_worker = {
             self._membership: (Heartbeat, Beat),
             self._keeper: (ConfigurationAsk, ConfigurationReply),
             self._dispatching: (
@@ -256,15 +256,19 @@
             self._claimer: (ClaimReply,),
             self._answers: (AnswerAsk, AnswerReply),
         }
-        return {kind: worker for worker, kinds in table.items() for kind in kinds}
+        return {
+            kind: worker
+            for worker, message_types in types_by_worker.items()
+            for kind in message_types
+        }
 
-    def _route(self, message: Received | LinkLost) -> None:
-        """Bring a message from a peer, or between two local tasks, to its task."""
+    def _deliver(self, message: Received | LinkLost) -> None:
+        """Deliver a message from a peer or a local task to its receiver."""
         if isinstance(message, LinkLost):
             for worker in (self._desk, self._membership, self._claimer):
                 worker.tell(message)
         elif isinstance(message.message, StatusReply):
-            future = self._status_asked.pop(message.message.number, None)
+            future = self._pending_status.pop(message.message.number, None)
             if future and not future.done():
                 future.set_result(orjson.loads(message.message.text))
         else:
@@ -318,17 +322,17 @@
             await runner.cleanup()
 
     def _refresh_gauges(self) -> None:
-        gauges = self._metrics
-        gauges.open_requests.set({}, self._border.open_requests)
-        gauges.version.set({}, self._in_force.version)
-        gauges.members.set({}, len(self._view.members))
-        gauges.restarts.set({}, self._supervisor.restarts)
+        metrics = self._metrics
+        metrics.open_requests.set({}, self._border.open_requests)
+        metrics.version.set({}, self._in_force.version)
+        metrics.members.set({}, len(self._view.members))
+        metrics.restarts.set({}, self._supervisor.restarts)
         writes, claims = self._claim_writer.totals
-        gauges.claim_writes.set({}, writes)
-        gauges.claims_written.set({}, claims)
+        metrics.claim_writes.set({}, writes)
+        metrics.claims_written.set({}, claims)
 
     async def _status(self) -> dict:
-        """Return the members and the pools, each told by its dispatcher."""
+        """Return the members, and the state of each pool from its dispatcher."""
         configuration = self._in_force.configuration
         pools = list(configuration.pools) if configuration else []
         states = await asyncio.gather(*(self._pool_status(pool) for pool in pools))
@@ -359,11 +363,11 @@
             return await self._dispatching.ask(StatusAsk("", pool))
         number = secrets.token_hex(8)
         future = asyncio.get_running_loop().create_future()
-        self._status_asked[number] = future
+        self._pending_status[number] = future
         address = self._view.members[name].peer_address
         self._links.tell(Send(address, StatusAsk(number, pool)))
         try:
             return await asyncio.wait_for(future, POOL_STATUS_TIMEOUT_S)
         except TimeoutError:
-            self._status_asked.pop(number, None)
+            self._pending_status.pop(number, None)
             return {}
--- a/hibiscusstep/keys.py
+++ b/hibiscusstep/keys.py
@@ -1,13 +1,13 @@
-"""hibiscusstep.keys: at most one dispatch for a key, as a delivery uses it."""
+"""hibiscusstep.keys: ensures at most one dispatch per idempotency key."""
 
 import asyncio
 
-from hibiscusstep.admission import Admitted
+from hibiscusstep.admission import AdmittedRequest
 from hibiscusstep.answers import (
     AnswerKeeper,
     AnswerState,
-    AttemptBegun,
     AttemptEnded,
+    AttemptStarted,
     FetchAnswer,
     KeptAnswer,
 )
@@ -21,22 +21,22 @@
 
 PLATFORM_RETRY_S = 5.0
 FETCH_TIMEOUT_S = 600.0
-NOT_KNOWN = "not known"
+EARLIER_NOT_KNOWN = "not known"
 
 
 class KeyGuard:
-    """Looks keys up, claims them, and fetches what an earlier attempt gave.
+    """Looks up and claims keys, and fetches the answers of earlier attempts.
 
     Parameters
     ----------
     claimer : Claimer
-        Speaks to the writers of claims.
+        Sends claims to their writers.
     answers : AnswerKeeper
-        Knows what became of attempts.
+        Keeps the outcomes of attempts.
     recorder : NullRecorder
-        Gets the history.
+        Records the history.
     enabled : bool
-        Off only to show what claims prevent.
+        Whether keys are claimed; off only to show what claims prevent.
     """
 
     def __init__(
@@ -52,25 +52,25 @@
         self._recorder = recorder
         self._enabled = enabled
 
-    async def look_up(self, admitted: Admitted) -> KeptAnswer | None:
+    async def look_up(self, admitted: AdmittedRequest) -> KeptAnswer | None:
         """Return the kept answer of an earlier attempt, None if there was none.
 
         Raises
         ------
         Problem
-            If there was one whose answer is not to be had, or if the claims
-            cannot be read: then this attempt is not run.
+            If there was one whose answer is not available, or if the claims
+            cannot be read. This attempt is not run then.
         """
         if not self._enabled:
             return None
-        verdict = await self._ask(admitted, "", lookup=True)
+        verdict = await self._request_claim(admitted, "", lookup=True)
         if verdict.result is ClaimResult.HELD:
-            return await self._earlier(admitted, verdict.record)
+            return await self._fetch_earlier(admitted, verdict.record)
         if verdict.result is ClaimResult.UNAVAILABLE:
-            raise _unavailable()
+            raise _claims_unavailable()
         return None
 
-    async def claim(self, admitted: Admitted) -> KeptAnswer | None:
+    async def claim(self, admitted: AdmittedRequest) -> KeptAnswer | None:
         """Claim the key for the request; return an earlier answer if it is held.
 
         After None the request may be dispatched, once.
@@ -79,14 +79,14 @@
         ------
         Problem
             If the claim is not confirmed, or the key is held and its answer is not
-            to be had: then this attempt is dead.
+            available. This attempt is never dispatched then.
         """
         if not self._enabled:
             return None
-        self._answers.tell(AttemptBegun(admitted.digest, admitted.request))
+        self._answers.tell(AttemptStarted(admitted.digest, admitted.request))
         supersedes = ""
         while True:
-            verdict = await self._ask(admitted, supersedes)
+            verdict = await self._request_claim(admitted, supersedes)
             if verdict.result is ClaimResult.CONFIRMED:
                 self._recorder.record(
                     EventKind.CLAIMED,
@@ -96,43 +96,48 @@
                 )
                 return None
             if verdict.result is ClaimResult.UNAVAILABLE:
-                raise _unavailable()
-            earlier = await self._earlier(admitted, verdict.record)
+                raise _claims_unavailable()
+            earlier = await self._fetch_earlier(admitted, verdict.record)
             if earlier is not None:
                 return earlier
             supersedes = verdict.record.attempt
 
-    def end(
-        self, admitted: Admitted, dispatched: bool, kept: KeptAnswer | None
+    def publish_outcome(
+        self,
+        admitted: AdmittedRequest,
+        dispatched: bool,
+        kept_answer: KeptAnswer | None,
     ) -> None:
-        """Tell what became of the request, so that repeats of its key hear it.
+        """Publish the outcome of the request, for repeats of its key.
 
         Parameters
         ----------
-        admitted : Admitted
+        admitted : AdmittedRequest
             The request.
         dispatched : bool
             Whether it may have reached a target.
-        kept : KeptAnswer or None
-            Its whole answer.
+        kept_answer : KeptAnswer or None
+            Its whole answer, if there is one.
         """
         if not self._enabled:
             return
         if dispatched:
-            answer = kept or KeptAnswer(AnswerState.GONE)
+            answer = kept_answer or KeptAnswer(AnswerState.GONE)
         else:
             answer = KeptAnswer(AnswerState.DEAD)
             self._claimer.tell(ReleaseRequest(admitted.digest, admitted.request))
         self._answers.tell(AttemptEnded(admitted.request, answer))
 
-    async def _ask(self, admitted, supersedes: str, lookup: bool = False) -> Verdict:
+    async def _request_claim(
+        self, admitted, supersedes: str, lookup: bool = False
+    ) -> Verdict:
         request = ClaimRequest(
             admitted.digest, admitted.body_digest, admitted.request, supersedes, lookup
         )
         return await self._claimer.ask(request)
 
-    async def _earlier(
-        self, admitted: Admitted, record: ClaimRecord
+    async def _fetch_earlier(
+        self, admitted: AdmittedRequest, record: ClaimRecord
     ) -> KeptAnswer | None:
         """Return the answer of the attempt that holds the key, None if it is dead."""
         if record.body_digest != admitted.body_digest:
@@ -148,29 +153,29 @@
             return found
         if found.state is AnswerState.DEAD:
             return None
-        raise _unknown(found.state)
+        raise _outcome_unknown(found.state)
 
 
-def _unavailable() -> Problem:
+def _claims_unavailable() -> Problem:
     return Problem(
         503,
         "claims-unavailable",
         "The key could not be claimed on the platform; this attempt was not run.",
         Outcome.NOT_RUN,
         PLATFORM_RETRY_S,
-        earlier=NOT_KNOWN,
+        earlier=EARLIER_NOT_KNOWN,
     )
 
 
-def _unknown(state: AnswerState) -> Problem:
-    why = {
+def _outcome_unknown(state: AnswerState) -> Problem:
+    reason = {
         AnswerState.GONE: "its answer is not kept",
         AnswerState.UNREACHABLE: "the instance that held it is gone",
     }[state]
     return Problem(
         409,
         "outcome-unknown",
-        f"An earlier attempt with this key may have run, and {why}.",
+        f"An earlier attempt with this key may have run, and {reason}.",
         Outcome.UNKNOWN,
         earlier="one, outcome unknown",
     )
--- a/hibiscusstep/problem.py
+++ b/hibiscusstep/problem.py
@@ -12,7 +12,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What is known of the request's effect."""
+    """What is known about the execution of a request."""
 
     NOT_RUN = "not run"
     UNKNOWN = "outcome unknown"
@@ -21,22 +21,22 @@
 
 @dataclass(eq=False)
 class Problem(Exception):
-    """An answer that is not the target's.
+    """A refusal or failure, answered with a problem document.
 
     Parameters
     ----------
     status : int
-        Of HTTP.
+        HTTP status.
     name : str
-        Last part of the type's URN.
+        Last part of the problem type's URN.
     detail : str
         One sentence for the caller.
     outcome : Outcome
-        Whether the request was run.
+        Whether the request was run, as far as known.
     retry_after : float or None
-        Seconds after which coming back helps; None where it does not.
+        Seconds after which a retry may succeed; None if none can.
     earlier : str
-        For a request with a key: what is known of earlier attempts with it.
+        What is known of earlier attempts with the request's key; ``""`` if not stated.
     """
 
     status: int
@@ -48,14 +48,14 @@
 
     @property
     def headers(self) -> dict[str, str]:
-        """HTTP headers of the answer."""
+        """HTTP headers of the response."""
         headers = {"Content-Type": "application/problem+json"}
         if self.retry_after is not None:
             headers["Retry-After"] = str(max(1, math.ceil(self.retry_after)))
         return headers
 
     def body(self, request: str) -> bytes:
-        """Return the document."""
+        """Return the problem document as JSON."""
         document = {
             "type": TYPE_PREFIX + self.name,
             "title": self.name.replace("-", " "),
--- a/hibiscusstep/progress.py
+++ b/hibiscusstep/progress.py
@@ -1,6 +1,6 @@
-"""hibiscusstep.progress: what is known of a request, and what may be said of it."""
+"""hibiscusstep.progress: state of a request and the problem documents it allows."""
 
-from hibiscusstep.admission import Admitted
+from hibiscusstep.admission import AdmittedRequest
 from hibiscusstep.configuration.models import Configuration
 from hibiscusstep.events import EventKind, NullRecorder
 from hibiscusstep.explain import Explainer
@@ -11,20 +11,20 @@
 __all__ = ["Progress"]
 
 _REFUSALS = {
-    Reason.LOAD: (503, "overloaded", "The pool cannot begin it before its deadline."),
-    Reason.DEADLINE: (503, "deadline", "It could not begin before its deadline."),
+    Reason.LOAD: (503, "overloaded", "The pool cannot start it before its deadline."),
+    Reason.DEADLINE: (503, "deadline", "It could not start before its deadline."),
     Reason.HIGHER_TIER: (503, "displaced", "Higher tiers need the whole pool."),
     Reason.IMPOSSIBLE: (
         422,
         "deadline-too-short",
-        "Even an idle target would begin its answer after the deadline.",
+        "Even an idle target would start its answer after the deadline.",
     ),
     Reason.CUSTOMER_LIMIT: (429, "customer-limit", "Too many of your requests wait."),
-    Reason.NO_TARGET: (503, "no-target", "No target of the pool takes work."),
-    Reason.UNAVAILABLE: (503, "unavailable", "Part of the system cannot be reached."),
+    Reason.NO_TARGET: (503, "no-target", "No target of the pool accepts requests."),
+    Reason.UNAVAILABLE: (503, "unavailable", "Part of the system is unreachable."),
 }
 
-_KINDS = {
+_EVENT_KINDS = {
     Outcome.NOT_RUN: EventKind.REFUSED,
     Outcome.UNKNOWN: EventKind.UNKNOWN,
     Outcome.FAILED: EventKind.FAILED,
@@ -32,30 +32,30 @@
 
 
 class Progress:
-    """How far a request has come; makes the problem that is true of it.
+    """State of a request, from which its problem documents are made.
 
     Parameters
     ----------
-    admitted : Admitted
+    admitted : AdmittedRequest
         The request.
     configuration : Configuration
-        In force when it was admitted.
+        The configuration in force when it was admitted.
     recorder : NullRecorder
-        Gets the history.
+        Records the history.
     explainer : Explainer
-        Remembers what was decided.
+        Stores decisions for operators.
 
     Attributes
     ----------
     dispatched : bool
-        Whether a byte of it may have reached a target.
+        Whether any byte of it may have reached a target.
     complete : bool
-        Whether a whole answer came.
+        Whether a complete answer was received.
     """
 
     def __init__(
         self,
-        admitted: Admitted,
+        admitted: AdmittedRequest,
         configuration: Configuration,
         recorder: NullRecorder,
         explainer: Explainer,
@@ -90,53 +90,53 @@
         )
 
     def explain(self, what: str, **fields) -> None:
-        """Remember a step for operators."""
+        """Store a step for operators."""
         self._explainer.note(
             self._admitted.request, self._admitted.customer, what, **fields
         )
 
     def end(self, problem: Problem) -> None:
         """Record that the request ends with a problem."""
-        self.record(_KINDS[problem.outcome], detail=problem.name)
+        self.record(_EVENT_KINDS[problem.outcome], detail=problem.name)
         self.explain(problem.outcome, problem=problem.name, detail=problem.detail)
 
-    def refused(self, refused: Refused) -> Problem:
+    def refused(self, refusal: Refused) -> Problem:
         """Return the problem of a refusal by the dispatcher."""
         if self._may_have_run:
-            return self.unknown("It was sent to a target that gave no whole answer.")
-        status, name, detail = _REFUSALS[refused.reason]
+            return self.unknown("It was sent to a target that gave no complete answer.")
+        status, name, detail = _REFUSALS[refusal.reason]
         if self.dispatched:
-            detail = f"An attempt broke off, and then: {detail}"
-        after = None if refused.reason is Reason.IMPOSSIBLE else refused.retry_after
+            detail = f"An earlier attempt failed. {detail}"
+        after = None if refusal.reason is Reason.IMPOSSIBLE else refusal.retry_after
         return Problem(status, name, detail, self._outcome, after)
 
     def stopped(self) -> Problem:
-        """Return the problem of making way for a higher tier."""
+        """Return the problem of a request that was stopped for a higher tier."""
         self.record(EventKind.STOPPED)
-        detail = "It was stopped for a higher tier before its answer was whole."
-        return self._given_up(503, "stopped", detail, 1.0)
+        detail = "It was stopped for a higher tier before its answer was complete."
+        return self._abandoned(503, "stopped", detail, 1.0)
 
     def caller_left(self) -> Problem:
-        """Return the problem that ends a request whose caller has left."""
-        return self._given_up(499, "caller-left", "The caller left.", None)
+        """Return the problem of a request whose caller disconnected."""
+        return self._abandoned(499, "caller-left", "The caller disconnected.", None)
 
     def timed_out(self) -> Problem:
         """Return the problem of an answer that took too long."""
-        return self._given_up(504, "answer-timeout", "The answer took too long.", 1.0)
+        return self._abandoned(504, "answer-timeout", "The answer took too long.", 1.0)
 
     def failed(self, detail: str) -> Problem:
-        """Return the problem of targets that gave no whole answer."""
+        """Return the problem of targets that gave no complete answer."""
         if self._may_have_run:
             return self.unknown(detail)
         return Problem(502, "target-failed", detail, self._outcome, 1.0)
 
     def unknown(self, detail: str) -> Problem:
-        """Return the problem of an outcome that nobody can know."""
+        """Return the problem of an unknown outcome."""
         return Problem(502, "outcome-unknown", detail, Outcome.UNKNOWN)
 
     def internal(self) -> Problem:
-        """Return the problem of an error of our own."""
-        detail = "An error of the scheduler itself; it is in its log."
+        """Return the problem of an internal error."""
+        detail = "Internal error of the scheduler; see its log."
         outcome = Outcome.UNKNOWN if self._may_have_run else self._outcome
         after = None if self.dispatched else 1.0
         return Problem(500, "internal", detail, outcome, after)
@@ -150,7 +150,7 @@
         """Whether it may have run and may not run twice."""
         return self.dispatched and not self._admitted.route.idempotent
 
-    def _given_up(self, status: int, name: str, detail: str, after) -> Problem:
+    def _abandoned(self, status: int, name: str, detail: str, after) -> Problem:
         if self._may_have_run:
-            return self.unknown("It was sent to a target and then given up.")
+            return self.unknown("It was sent to a target and then abandoned.")
         return Problem(status, name, detail, self._outcome, after)
--- a/hibiscusstep/target.py
+++ b/hibiscusstep/target.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.target: one engine or service, as the system speaks to it."""
+"""hibiscusstep.target: interface of the clients for targets."""
 
 from abc import ABC, abstractmethod
 from collections.abc import AsyncIterator
@@ -14,26 +14,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """A request on its way to a target.
+    """A request to a target.
 
     Parameters
     ----------
     request, attempt : str
         Ids; the attempt is unique to this dispatch.
     method, path : str
-        Of HTTP.
+        HTTP method and path.
     body : bytes
-        Passed on untouched.
+        Forwarded unchanged.
     content_type : str
-        Of the body.
+        Content type of the body.
     key : str
-        Idempotency key, or ``""``.
+        Idempotency key; ``""`` if there is none.
     stream : bool
         Whether the caller wants server-sent events.
     idempotent : bool
-        Whether it may run twice.
+        Whether the request may run twice.
     timeout : float
-        Seconds until the end of the answer.
+        Seconds within which the answer must be complete.
     """
 
     request: str
@@ -49,18 +49,18 @@
 
 
 class Answer(ABC):
-    """The answer of a target, as it comes.
+    """The answer of a target, as a stream.
 
     Attributes
     ----------
     status : int
-        Of HTTP.
+        HTTP status.
     content_type : str
-        Of HTTP.
+        Content type of the answer.
     tokens : int
-        Events or tokens so far.
+        Events or tokens received so far.
     computed : int
-        Prompt tokens that the target says it computed; -1 if it does not say.
+        Prompt tokens that the target reports as computed; -1 if not reported.
     """
 
     status: int
@@ -70,30 +70,30 @@
 
     @abstractmethod
     def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the answer in whole events.
+        """Yield the answer in complete events.
 
         Raises
         ------
         TargetError
-            If it ends without its end mark.
+            If the answer ends without its end mark.
         """
 
     @abstractmethod
     async def cancel(self) -> None:
-        """Tell the target to stop working on it."""
+        """Ask the target to cancel the request."""
 
     @abstractmethod
     def close(self) -> None:
-        """Give back the connection."""
+        """Release the connection."""
 
 
 class Target(ABC):
-    """A target's dialect.
+    """Client for one target, in the protocol of its kind.
 
     Parameters
     ----------
     name, address : str
-        The target and its IP number and port.
+        The target's name, and its IP address and port.
     sessions : object
         Connections shared by the targets of an instance.
     """
@@ -105,25 +105,25 @@
 
     @property
     def name(self) -> str:
-        """The target."""
+        """The target's name."""
         return self._name
 
     @property
     def address(self) -> str:
-        """IP number and port."""
+        """IP address and port."""
         return self._address
 
     @abstractmethod
     async def send(self, order: Order) -> Result[Answer, TargetError]:
-        """Send an order, once; return when the answer begins."""
+        """Send a request once; return when the answer starts."""
 
     @abstractmethod
     async def report(self) -> LoadReport:
-        """Return what the target says of its load; unreachable if it says nothing."""
+        """Return the target's load report, marked unreachable if there is no reply."""
 
 
 def get_target_by_kind(kind: str) -> type[Target]:
-    """Return the target class of a pool's kind.
+    """Return the target class for the kind of a pool.
 
     Raises
     ------
