--- a/tests/faults.py
+++ b/tests/faults.py
@@ -1,4 +1,4 @@
-"""The fault matrix: every fault at every step, of each kind of request."""
+"""The fault matrix: each fault at each step of each kind of request."""
 
 import asyncio
 import hashlib
@@ -11,7 +11,7 @@
 from hibiscusstep.events import EventKind
 
 KEY = "the-key"
-PATH = {"charge": "/charge", "read": "/read"}
+PATHS = {"charge": "/charge", "read": "/read"}
 HOLDER = "e0"
 
 STEPS = {
@@ -28,12 +28,12 @@
     "shutdown asked": EventKind.SHUTDOWN_ASKED,
 }
 KEYED_STEPS = {"claim sent", "claim confirmed"}
-PROVOKED_STEPS = {"configuration sent", "configuration taken", "shutdown asked"}
+TRIGGERED_STEPS = {"configuration sent", "configuration taken", "shutdown asked"}
 
 
 @dataclass(frozen=True)
 class Cell:
-    """One fault, or two, at one step of one kind of request."""
+    """One or two faults at one step of one kind of request."""
 
     kind: str
     step: str
@@ -100,7 +100,7 @@
 
 
 async def configuration_race(cluster):
-    """Two writers at the same version: one of them is accepted."""
+    """Apply two configurations at the same version, of which one is accepted."""
     files = [configuration(cluster.targets, deadline=n) for n in (4, 5)]
     await asyncio.gather(*(cluster.apply(f) for f in files), return_exceptions=True)
 
@@ -134,20 +134,20 @@
 
 
 def cells():
-    """Return all cells: each kind, step and fault, and the pairs at some steps."""
+    """Return all cells: each applicable kind and step with each fault and pair."""
     single = [(fault,) for fault in FAULTS]
-    made = [
+    matrix = [
         Cell(kind, step, faults)
         for kind, step, faults in itertools.product(KINDS, STEPS, single + PAIRS)
         if _applies(kind, step)
     ]
-    return made
+    return matrix
 
 
 def _applies(kind, step):
     if step in KEYED_STEPS:
         return kind == "charge"
-    return kind == "charge" or step not in PROVOKED_STEPS
+    return kind == "charge" or step not in TRIGGERED_STEPS
 
 
 def digest():
@@ -158,7 +158,7 @@
     if kind == "chat":
         return cluster.chat(name, "why?", tokens=25)
     key = KEY if kind == "charge" else ""
-    return cluster.call(name, PATH[kind], key=key)
+    return cluster.call(name, PATHS[kind], key=key)
 
 
 async def run_cell(folder, cell):
@@ -170,23 +170,23 @@
         def inject():
             asyncio.create_task(_inject(cluster, cell.faults, injected))
 
-        arm(cluster, cell.step, inject)
-        noise = [
+        inject_at_step(cluster, cell.step, inject)
+        background_reads = [
             asyncio.create_task(cluster.call(name, "/read"))
             for name in ("e1", "e2")
             for _ in range(3)
         ]
         first = asyncio.create_task(send(cluster, cell.kind, HOLDER))
-        provoke(cluster, cell.step)
+        trigger_step(cluster, cell.step)
         await asyncio.wait_for(injected.wait(), 15)
         reply = await first
         allowed = {"whole", "not run", "outcome unknown", "failed"}
         if HOLDER in cluster.killed or "drain holder" in cell.faults:
             allowed.add("broken")
         assert reply.outcome in allowed, reply.outcome
-        await mend(cluster)
-        await asyncio.gather(*noise)
-        await serves_again(cluster, cell.kind)
+        await restore_all(cluster)
+        await asyncio.gather(*background_reads)
+        await check_recovery(cluster, cell.kind)
         await until(lambda: not any(e._border.open_requests for e in cluster._live()))
         cluster.check()
         return reply.outcome
@@ -198,23 +198,23 @@
     injected.set()
 
 
-def arm(cluster, step, inject):
-    """Have the fault injected when the step is reached."""
-    at = STEPS[step]
-    holder = None if step in PROVOKED_STEPS else [HOLDER]
-    if at == "target":
+def inject_at_step(cluster, step, inject):
+    """Call `inject` when the step is reached."""
+    trigger = STEPS[step]
+    holder = None if step in TRIGGERED_STEPS else [HOLDER]
+    if trigger == "target":
         cluster.on_event(
             EventKind.DISPATCHED,
-            lambda: asyncio.create_task(later(cluster, inject)),
+            lambda: asyncio.create_task(inject_once_served(cluster, inject)),
             holder,
         )
-    elif isinstance(at, EventKind):
-        cluster.on_event(at, inject, holder)
+    elif isinstance(trigger, EventKind):
+        cluster.on_event(trigger, inject, holder)
     else:
-        cluster.on_put(at, inject)
+        cluster.on_put(trigger, inject)
 
 
-async def later(cluster, inject):
+async def inject_once_served(cluster, inject):
     served = EventKind.SERVED
     await until(
         lambda: any(e.request.startswith(HOLDER) for e in cluster.events(served))
@@ -222,8 +222,8 @@
     inject()
 
 
-def provoke(cluster, step):
-    """Do what leads to the step, where the request alone does not."""
+def trigger_step(cluster, step):
+    """Trigger a step that the request itself does not reach."""
     if step.startswith("configuration"):
         files = configuration(cluster.targets, deadline=7.0, timeout=0.8)
         cluster.background(cluster.apply_until_known(files))
@@ -231,8 +231,8 @@
         cluster.background(cluster.drain("e2"))
 
 
-async def mend(cluster):
-    """End all faults; start again what was killed or drained."""
+async def restore_all(cluster):
+    """End all faults and restart killed or drained instances."""
     await cluster.background_done()
     cluster.platform.faults.down = False
     cluster.platform.faults.delay = 0.0
@@ -248,8 +248,8 @@
     await cluster.settled()
 
 
-async def serves_again(cluster, kind):
-    """The request's repeat is answered, and each instance serves."""
+async def check_recovery(cluster, kind):
+    """Wait until a repeat of the request is answered and each instance serves."""
     async with asyncio.timeout(20):
         while (await send(cluster, kind, "e1")).outcome == "not run":
             await asyncio.sleep(0.1)
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A request that must not repeat is dispatched at most once."""
+"""A request with a key on a route that is not idempotent is dispatched once at most."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
     return tmp_path
 
 
-async def charge_everywhere(cluster, key, times=3):
+async def charge_through_all_instances(cluster, key, times=3):
     return await asyncio.gather(
         *(
             cluster.call(name, key=key)
@@ -26,16 +26,16 @@
 class TestRepeatedKey:
     async def test_at_once_through_all_instances(self, folder):
         async with Cluster(folder, duration=0.1) as cluster:
-            replies = await charge_everywhere(cluster, "bib-1")
+            replies = await charge_through_all_instances(cluster, "bib-1")
             assert {reply.outcome for reply in replies} == {"whole"}
             assert len({reply.body for reply in replies}) == 1
             assert len(cluster.events(EventKind.SERVED)) == 1
             cluster.check()
 
-    async def test_without_claims_the_checker_finds_it(self, folder):
+    async def test_checker_reports_repeats_without_claims(self, folder):
         settings = {"claims_enabled": False}
         async with Cluster(folder, settings=settings) as cluster:
-            await charge_everywhere(cluster, "bib-1")
+            await charge_through_all_instances(cluster, "bib-1")
             promises = {finding.promise for finding in cluster.findings()}
             assert "at most once" in promises
 
@@ -51,7 +51,7 @@
             assert len(cluster.events(EventKind.SERVED)) == 1
             cluster.check()
 
-    async def test_while_the_first_caller_left(self, folder):
+    async def test_after_the_first_caller_disconnected(self, folder):
         async with Cluster(folder, duration=0.4) as cluster:
             first = asyncio.create_task(cluster.call("e0", key="bib-3"))
             await until(lambda: cluster.events(EventKind.SERVED))
@@ -62,9 +62,7 @@
             assert len(cluster.events(EventKind.SERVED)) == 1
             cluster.check()
 
-    async def test_a_target_that_breaks_is_outcome_unknown_and_not_repeated(
-        self, folder
-    ):
+    async def test_a_broken_target_gives_outcome_unknown_without_repeat(self, folder):
         async with Cluster(folder, duration=5.0, services=1) as cluster:
             first = asyncio.create_task(cluster.call("e0", key="bib-4"))
             await until(lambda: cluster.events(EventKind.SERVED))
@@ -76,7 +74,7 @@
 
 
 class TestPlatformFaults:
-    async def test_down_is_not_run_at_once_and_runs_later(self, folder):
+    async def test_while_down_requests_are_refused_and_later_run(self, folder):
         async with Cluster(folder, timeout=0.3) as cluster:
             cluster.platform.faults.down = True
             reply = await cluster.call("e0", key="bib-5")
@@ -84,25 +82,25 @@
             assert (await cluster.call("e0", "/read")).outcome == "whole"
             cluster.platform.faults.down = False
 
-            async def again():
+            async def retry():
                 return (await cluster.call("e1", key="bib-5")).outcome
 
             async with asyncio.timeout(20):
-                while await again() != "whole":
+                while await retry() != "whole":
                     await asyncio.sleep(0.05)
             assert len(cluster.events(EventKind.SERVED)) == 2
             cluster.check()
 
     @pytest.mark.parametrize("lost", [1, 2, 5])
-    async def test_lost_answers_are_read_back(self, folder, lost):
+    async def test_claims_with_lost_answers_are_read_back(self, folder, lost):
         async with Cluster(folder, timeout=3.0) as cluster:
             cluster.platform.faults.lose_answers = lost
-            replies = await charge_everywhere(cluster, "bib-6", times=1)
+            replies = await charge_through_all_instances(cluster, "bib-6", times=1)
             assert {reply.outcome for reply in replies} == {"whole"}
             assert len(cluster.events(EventKind.SERVED)) == 1
             cluster.check()
 
-    async def test_slow_beyond_the_timeout_is_not_run_then_runs_once(self, folder):
+    async def test_slow_beyond_the_timeout_is_refused_and_later_runs_once(self, folder):
         async with Cluster(folder, timeout=0.2) as cluster:
             cluster.platform.faults.delay = 0.5
             reply = await cluster.call("e0", key="bib-7")
@@ -115,8 +113,8 @@
             cluster.check()
 
 
-class TestTwoWriters:
-    async def test_instances_cut_in_two_do_not_both_dispatch(self, folder):
+class TestPartition:
+    async def test_the_two_sides_do_not_both_dispatch(self, folder):
         async with Cluster(folder, instances=4, duration=0.1, timeout=2.0) as cluster:
             cluster.cut(["e0", "e1"], ["e2", "e3"])
             await until(lambda: all(len(e.view.members) == 2 for e in cluster._live()))
@@ -129,7 +127,7 @@
                 )
             )
             replies = [
-                await charge_everywhere(cluster, f"bib-{number}", times=1)
+                await charge_through_all_instances(cluster, f"bib-{number}", times=1)
                 for number in range(6)
             ]
             outcomes = {reply.outcome for group in replies for reply in group}
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Kills, freezes, outages and shutdowns on real processes."""
+"""Kills, freezes, outages and shutdowns of real processes."""
 
 import asyncio
 import json
@@ -16,19 +16,22 @@
 from hibiscusstep.load.drive import Driver, State
 from hibiscusstep.load.mix import RequestClass, arrivals, load_mix
 
-KEY = {"Authorization": "Bearer demo-guro-animation"}
-BILL = {"Authorization": "Bearer demo-mapo-pictures", "Idempotency-Key": "shot"}
-QUICK = {"heartbeat_interval": 0.2, "suspect_after": 1.5}
+AUTH_HEADERS = {"Authorization": "Bearer demo-guro-animation"}
+CHARGE_HEADERS = {
+    "Authorization": "Bearer demo-mapo-pictures",
+    "Idempotency-Key": "shot",
+}
+FAST_DETECTION = {"heartbeat_interval": 0.2, "suspect_after": 1.5}
 MIX = Path(__file__).parent.parent / "examples" / "loads" / "demo.json"
 
 
 @pytest.fixture
 def fleet():
-    with Fleet("hanul", targets=3, settings=QUICK) as running:
+    with Fleet("hanul", targets=3, settings=FAST_DETECTION) as running:
         yield running
 
 
-def recording(seconds=4.0, rate=15.0):
+def make_arrivals(seconds=4.0, rate=15.0):
     mix = load_mix(MIX)
     phases = [mix.phases[0].model_copy(update={"seconds": seconds, "rate": rate})]
     return arrivals(mix.model_copy(update={"phases": phases}), seed=3)
@@ -38,11 +41,11 @@
     return json.loads(fleet.client("status", "--json"))["pools"][pool]["dispatcher"]
 
 
-def drive(fleet, after, action, urls=None):
-    """Send a recording; do something while it runs; return what callers saw."""
+def run_load(fleet, after, action, urls=None):
+    """Run a load, call `action` after `after` seconds, and return the results."""
     timer = threading.Timer(after, action)
     timer.start()
-    results = asyncio.run(Driver(urls or fleet.callers.values()).run(recording()))
+    results = asyncio.run(Driver(urls or fleet.callers.values()).run(make_arrivals()))
     timer.join()
     return results
 
@@ -60,7 +63,7 @@
 
 
 def check(fleet, *killed):
-    """Check the promises once the last answers are recorded."""
+    """Check the promises after the last answers are recorded."""
     end = time.monotonic() + 5.0
     while open_requests(fleet, killed) and time.monotonic() < end:
         time.sleep(0.02)
@@ -68,42 +71,47 @@
     assert not findings, "\n".join(map(str, findings))
 
 
-def wait_for(condition, bound=20.0):
-    end = time.monotonic() + bound
+def wait_for(condition, timeout_s=20.0):
+    end = time.monotonic() + timeout_s
     while not condition():
-        assert time.monotonic() < end, "never came"
+        assert time.monotonic() < end, "condition not met in time"
         time.sleep(0.02)
 
 
 class TestKill:
     @pytest.mark.parametrize("role", ["dispatcher", "other"])
-    def test_loses_no_request_of_the_others(self, fleet, role):
-        """A charge was refused whose claim the killed instance had been asked for."""
+    def test_requests_at_other_instances_succeed(self, fleet, role):
+        """A charge was refused if its claim had been sent to the killed instance."""
         chosen = dispatcher(fleet)
         others = [name for name in fleet.instances if name != chosen]
         victim = chosen if role == "dispatcher" else others[0]
-        results = drive(fleet, 1.5, lambda: fleet.signal(victim, signal.SIGKILL))
-        own = [r for r in results if r.request.startswith(victim) or not r.request]
-        rest = [r for r in results if r not in own]
-        assert rest
-        lost = [(r.state, r) for r in rest if r.state is not State.COMPLETE]
+        results = run_load(fleet, 1.5, lambda: fleet.signal(victim, signal.SIGKILL))
+        victim_results = [
+            r for r in results if r.request.startswith(victim) or not r.request
+        ]
+        other_results = [r for r in results if r not in victim_results]
+        assert other_results
+        lost = [(r.state, r) for r in other_results if r.state is not State.COMPLETE]
         assert not lost, lost
-        assert all(r.state in (State.COMPLETE, State.BROKEN, State.WRONG) for r in own)
+        assert all(
+            r.state in (State.COMPLETE, State.BROKEN, State.WRONG)
+            for r in victim_results
+        )
         check(fleet, victim)
 
     @pytest.mark.parametrize("role", ["dispatcher", "other"])
-    def test_refuses_no_charge_of_the_others(self, fleet, role):
-        """Charges whose claims were in the hands of the killed one were refused."""
+    def test_charges_at_other_instances_are_not_refused(self, fleet, role):
+        """Charges were refused if the killed instance was processing their claims."""
         chosen = dispatcher(fleet)
         others = [name for name in fleet.instances if name != chosen]
         victim = chosen if role == "dispatcher" else others[0]
-        awake = [name for name in fleet.instances if name != victim]
-        fleet.control("platform", delay=0.5)  # the claims are under way at the kill
+        active = [name for name in fleet.instances if name != victim]
+        fleet.control("platform", delay=0.5)  # the claims are in progress at the kill
         replies = []
 
         def charge(number):
-            url = fleet.callers[awake[number % len(awake)]] + "/farm/billing/shot"
-            key = {**BILL, "Idempotency-Key": f"shot-{number}"}
+            url = fleet.callers[active[number % len(active)]] + "/farm/billing/shot"
+            key = {**CHARGE_HEADERS, "Idempotency-Key": f"shot-{number}"}
             replies.append(http("POST", url, {"call": "x"}, key, timeout=30))
 
         callers = [threading.Thread(target=charge, args=(n,)) for n in range(12)]
@@ -135,7 +143,9 @@
         body = {"call": "x"}
         wait_for(
             lambda: (
-                http("POST", f"{fleet.callers[victim]}/farm/frames", body, KEY)[0]
+                http(
+                    "POST", f"{fleet.callers[victim]}/farm/frames", body, AUTH_HEADERS
+                )[0]
                 == 200
             )
         )
@@ -143,30 +153,33 @@
 
 
 class TestFreeze:
-    def test_of_the_dispatcher_and_its_waking(self, fleet):
+    def test_of_the_dispatcher_until_it_resumes(self, fleet):
         frozen = dispatcher(fleet)
-        awake = [url for name, url in fleet.callers.items() if name != frozen]
-        results = drive(
-            fleet, 1.0, lambda: fleet.signal(frozen, signal.SIGSTOP), urls=awake
+        active = [url for name, url in fleet.callers.items() if name != frozen]
+        results = run_load(
+            fleet, 1.0, lambda: fleet.signal(frozen, signal.SIGSTOP), urls=active
         )
         assert {r.state for r in results} <= {State.COMPLETE, State.NOT_RUN}
         fleet.signal(frozen, signal.SIGCONT)
         url = fleet.callers[frozen]
         wait_for(
-            lambda: http("POST", f"{url}/farm/frames", {"call": "x"}, KEY)[0] == 200
+            lambda: (
+                http("POST", f"{url}/farm/frames", {"call": "x"}, AUTH_HEADERS)[0]
+                == 200
+            )
         )
         check(fleet)
 
     def test_of_the_holder_of_a_key(self, fleet):
-        """A holder paused before its dispatch wakes; nobody charged meanwhile."""
+        """A holder paused before its dispatch resumes; the charge runs once at most."""
         holder, *others = fleet.instances
         path = "/farm/billing/shot"
-        fleet.control("platform", delay=0.8)  # the claim is under way when it stops
+        fleet.control("platform", delay=0.8)  # the claim is in progress when it stops
         replies = []
 
         def charge():
             url = fleet.callers[holder] + path
-            replies.append(http("POST", url, {"call": "x"}, BILL, timeout=30))
+            replies.append(http("POST", url, {"call": "x"}, CHARGE_HEADERS, timeout=30))
 
         caller = threading.Thread(target=charge)
         caller.start()
@@ -181,7 +194,7 @@
         status, body = 0, b""
         for name in others:
             url = fleet.callers[name] + path
-            status, body = http("POST", url, {"call": "x"}, BILL, timeout=30)
+            status, body = http("POST", url, {"call": "x"}, CHARGE_HEADERS, timeout=30)
         fleet.signal(holder, signal.SIGCONT)
         caller.join(30)
         assert status in (200, 409, 503), body
@@ -190,14 +203,14 @@
         check(fleet)
 
 
-class TestFreezeAtAStep:
-    """A paused process at each step of a charge; it wakes when all has gone on."""
+class TestFreezeAtStep:
+    """A process pauses at each step of a charge and resumes after others continued."""
 
     @pytest.mark.parametrize("role", ["holder", "dispatcher", "both"])
     @pytest.mark.parametrize(
         "step", [EventKind.RECEIVED, EventKind.CLAIMED, EventKind.SERVED]
     )
-    def test_runs_once_and_goes_on(self, fleet, role, step):
+    def test_charge_runs_once_and_service_continues(self, fleet, role, step):
         holder = next(iter(fleet.instances))
         chosen = {
             "holder": {holder},
@@ -210,56 +223,58 @@
 
         def charge(name):
             url = fleet.callers[name] + "/farm/billing/shot"
-            replies.append(http("POST", url, {"call": "x"}, BILL, timeout=40))
+            replies.append(http("POST", url, {"call": "x"}, CHARGE_HEADERS, timeout=40))
 
         first = threading.Thread(target=charge, args=(holder,))
         first.start()
         wait_for(lambda: any(e.kind is step for e in read_history(fleet.history)), 10.0)
         for name in chosen:
             fleet.signal(name, signal.SIGSTOP)
-        awake = [name for name in fleet.instances if name not in chosen]
-        charge(awake[0])
-        url = fleet.callers[awake[0]] + "/farm/frames"
-        wait_for(lambda: http("POST", url, {"call": "x"}, KEY, timeout=20)[0] == 200)
+        active = [name for name in fleet.instances if name not in chosen]
+        charge(active[0])
+        url = fleet.callers[active[0]] + "/farm/frames"
+        wait_for(
+            lambda: http("POST", url, {"call": "x"}, AUTH_HEADERS, timeout=20)[0] == 200
+        )
         for name in chosen:
             fleet.signal(name, signal.SIGCONT)
         first.join(40)
         assert all(status in (200, 409, 502, 503) for status, _body in replies)
-        charge(awake[0])
+        charge(active[0])
         keyed = {
             event.request
             for event in read_history(fleet.history)
             if event.kind is EventKind.RECEIVED and event.key
         }
-        ran = [
+        served_events = [
             event
             for event in read_history(fleet.history)
             if event.kind is EventKind.SERVED and event.request in keyed
         ]
-        assert len(ran) <= 1
+        assert len(served_events) <= 1
         check(fleet)
 
 
 class TestOutage:
-    def test_keyed_requests_are_refused_and_the_rest_flows(self, fleet):
+    def test_keyed_requests_are_refused_and_others_are_served(self, fleet):
         fleet.control("platform", down=True)
-        results = asyncio.run(Driver(fleet.callers.values()).run(recording(3.0)))
+        results = asyncio.run(Driver(fleet.callers.values()).run(make_arrivals(3.0)))
         keyed = [r for r in results if r.arrival.key]
-        rest = [r for r in results if not r.arrival.key]
-        assert rest and {r.state for r in rest} == {State.COMPLETE}
+        other_results = [r for r in results if not r.arrival.key]
+        assert other_results and {r.state for r in other_results} == {State.COMPLETE}
         assert keyed and {r.state for r in keyed} == {State.NOT_RUN}
         assert all(r.retry_after for r in keyed)
         fleet.control("platform", down=False)
         url = next(iter(fleet.callers.values())) + "/farm/billing/shot"
-        headers = {**BILL, "Idempotency-Key": "after"}
+        headers = {**CHARGE_HEADERS, "Idempotency-Key": "after"}
         wait_for(lambda: http("POST", url, {"call": "x"}, headers)[0] == 200)
         check(fleet)
 
 
 class TestShutdown:
-    def test_sigterm_cuts_nothing_and_exits_0(self, fleet):
+    def test_sigterm_completes_open_requests_and_exits_0(self, fleet):
         victim = dispatcher(fleet)
-        results = drive(fleet, 1.5, lambda: fleet.signal(victim, signal.SIGTERM))
+        results = run_load(fleet, 1.5, lambda: fleet.signal(victim, signal.SIGTERM))
         assert fleet.wait(victim) == 0
         refused = [r for r in results if r.state is State.BROKEN]
         assert all(r.reason.startswith("ClientConnector") for r in refused), refused
@@ -270,18 +285,22 @@
         )
         check(fleet)
 
-    def test_a_second_sigterm_says_what_it_cuts(self, fleet):
+    def test_a_second_sigterm_logs_the_cut_requests(self, fleet):
         name = next(iter(fleet.instances))
-        spec = RequestClass(share=1, customers=["guro-animation"], model="assistant")
+        request_class = RequestClass(
+            share=1, customers=["guro-animation"], model="assistant"
+        )
         body = {
-            "model": spec.model,
+            "model": request_class.model,
             "messages": [{"role": "user", "content": "long"}],
             "max_tokens": 2000,
         }
         url = fleet.callers[name] + "/v1/chat/completions"
         broken = (OSError, HTTPException)
         caller = threading.Thread(
-            target=lambda: pytest.raises(broken, http, "POST", url, body, KEY, 60)
+            target=lambda: pytest.raises(
+                broken, http, "POST", url, body, AUTH_HEADERS, 60
+            )
         )
         caller.start()
         wait_for(
@@ -299,7 +318,9 @@
 
 
 class TestOperators:
-    def test_two_race_on_the_same_and_on_different_files(self, fleet, tmp_path):
+    def test_two_apply_changes_to_the_same_and_to_different_files(
+        self, fleet, tmp_path
+    ):
         folders = [tmp_path / "ana", tmp_path / "bo"]
         for folder in folders:
             fleet.client("pull", str(folder))
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals to an instance at moments at which its event loop does not follow them."""
+"""Signals that arrive while an instance's event loop does not handle them."""
 
 import json
 import os
@@ -27,9 +27,9 @@
 runpy.run_module("hibiscusstep.cmdline.entry", run_name="__main__", alter_sys=True)
 """
 GRACE_S = 1
-START = '"message": "start"'
-# The first import after the signals are held, and two later ones.
-FIRST, SETTINGS, LISTENING = (
+START_MESSAGE = '"message": "start"'
+# The first import after the early signal handlers are installed, and two later ones.
+FIRST_IMPORT, SETTINGS_IMPORT, LISTENING_IMPORT = (
     "click",
     "hibiscusstep.platform.settings",
     "hibiscusstep.forwarding.instance",
@@ -38,7 +38,7 @@
 
 @pytest.fixture
 def settings(tmp_path):
-    """Settings of an instance in the platform's dialect, whose store is away."""
+    """Settings in the platform's dialect of an instance whose store is unreachable."""
     front, ready, peer, store = free_ports(4)
     path = tmp_path / "local.json"
     path.write_text(
@@ -62,7 +62,7 @@
 
 @pytest.fixture
 def own_settings(tmp_path):
-    """Settings of our own of an instance whose store is away."""
+    """Settings in the own dialect of an instance whose store is unreachable."""
     caller, operator, peer, store = free_ports(4)
     folder = tmp_path / "settings"
     folder.mkdir()
@@ -83,8 +83,8 @@
     return folder
 
 
-class Started:
-    """An instance whose output is read line by line."""
+class InstanceProcess:
+    """An instance process whose output is read line by line."""
 
     def __init__(self, *command):
         self.process = subprocess.Popen(
@@ -97,7 +97,7 @@
         self.lines = []
 
     def read_until(self, text):
-        """Read lines until one has a text; whether one had it."""
+        """Read lines until one contains a text; return whether one did."""
         for line in self.process.stdout:
             self.lines.append(line)
             if text in line:
@@ -105,7 +105,7 @@
         return False
 
     def signal_until_end(self, number):
-        """Send a signal again and again; return the exit code."""
+        """Send a signal repeatedly until the process ends; return the exit code."""
         reader = threading.Thread(target=self.lines.extend, args=[self.process.stdout])
         reader.start()
         while self.process.poll() is None:
@@ -125,54 +125,54 @@
 
 @pytest.mark.timeout(30)
 class TestSignalDuringStart:
-    """SIGHUP or SIGTERM ended an instance that was still loading its libraries."""
+    """SIGHUP or SIGTERM killed an instance that was still importing its modules."""
 
-    @pytest.mark.parametrize("module", [FIRST, SETTINGS, LISTENING])
-    def test_to_reload_is_obeyed_once_it_runs(self, settings, module):
+    @pytest.mark.parametrize(
+        "module", [FIRST_IMPORT, SETTINGS_IMPORT, LISTENING_IMPORT]
+    )
+    def test_reload_is_handled_once_it_runs(self, settings, module):
         command = ["-c", PROGRAM, module, signal.SIGHUP.value, settings]
-        with Started(*command, "--dialect", "platform") as started:
-            assert started.read_until('"message": "reload"'), started.lines
-            started.process.terminate()
-            assert started.process.wait() == 0
+        with InstanceProcess(*command, "--dialect", "platform") as instance:
+            assert instance.read_until('"message": "reload"'), instance.lines
+            instance.process.terminate()
+            assert instance.process.wait() == 0
 
-    @pytest.mark.parametrize("module", [FIRST, SETTINGS])
-    def test_to_stop_before_it_listens_ends_it_at_once(self, settings, module):
+    @pytest.mark.parametrize("module", [FIRST_IMPORT, SETTINGS_IMPORT])
+    def test_stop_before_it_listens_ends_it_at_once(self, settings, module):
         command = ["-c", PROGRAM, module, signal.SIGTERM.value, settings]
-        with Started(*command, "--dialect", "platform") as started:
-            assert not started.read_until(START)
-            assert started.process.wait() == 0
-
-    def test_to_stop_once_it_listens_ends_it_after_its_callers_were_told(
-        self, settings
-    ):
-        command = ["-c", PROGRAM, LISTENING, signal.SIGTERM.value, settings]
-        with Started(*command, "--dialect", "platform") as started:
-            assert started.read_until('"message": "stop"'), started.lines
-            assert started.process.wait() == 0
-
-    def test_to_reload_does_not_end_one_with_settings_of_its_own(self, own_settings):
-        command = ["-c", PROGRAM, FIRST, signal.SIGHUP.value, own_settings]
-        with Started(*command) as started:
-            assert started.read_until("settings not reloaded"), started.lines
-            started.process.terminate()
-            assert started.process.wait() == 0
+        with InstanceProcess(*command, "--dialect", "platform") as instance:
+            assert not instance.read_until(START_MESSAGE)
+            assert instance.process.wait() == 0
+
+    def test_stop_while_it_listens_drains_it(self, settings):
+        command = ["-c", PROGRAM, LISTENING_IMPORT, signal.SIGTERM.value, settings]
+        with InstanceProcess(*command, "--dialect", "platform") as instance:
+            assert instance.read_until('"message": "stop"'), instance.lines
+            assert instance.process.wait() == 0
+
+    def test_reload_does_not_end_one_with_own_settings(self, own_settings):
+        command = ["-c", PROGRAM, FIRST_IMPORT, signal.SIGHUP.value, own_settings]
+        with InstanceProcess(*command) as instance:
+            assert instance.read_until("settings not reloaded"), instance.lines
+            instance.process.terminate()
+            assert instance.process.wait() == 0
 
 
 @pytest.mark.timeout(30)
-class TestSignalDuringEnd:
-    """SIGHUP ended an instance after its drain: a whole end looked like a crash."""
+class TestSignalDuringShutdown:
+    """SIGHUP killed an instance after its drain, so that it seemed to have crashed."""
 
     @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM, signal.SIGINT])
-    def test_it_exits_as_without(self, settings, number):
+    def test_exit_code_is_unaffected(self, settings, number):
         command = ["-m", "hibiscusstep.cmdline.entry", "--dialect", "platform"]
-        with Started(*command, settings) as started:
-            assert started.read_until(START), started.lines
-            started.process.terminate()
-            assert started.signal_until_end(number) == 0
+        with InstanceProcess(*command, settings) as instance:
+            assert instance.read_until(START_MESSAGE), instance.lines
+            instance.process.terminate()
+            assert instance.signal_until_end(number) == 0
 
-    def test_nor_one_with_settings_of_its_own(self, own_settings):
+    def test_exit_code_is_unaffected_with_own_settings(self, own_settings):
         command = ["-m", "hibiscusstep.cmdline.entry", own_settings]
-        with Started(*command) as started:
-            assert started.read_until("members changed"), started.lines
-            started.process.terminate()
-            assert started.signal_until_end(signal.SIGHUP) == 0
+        with InstanceProcess(*command) as instance:
+            assert instance.read_until("members changed"), instance.lines
+            instance.process.terminate()
+            assert instance.signal_until_end(signal.SIGHUP) == 0
