--- a/hibiscusstep/dispatching.py
+++ b/hibiscusstep/dispatching.py
@@ -11,7 +11,7 @@
 import orjson
 
 from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.duty import TICK_S, HostedDispatcher, to_learnt, to_work
+from hibiscusstep.duty import TICK_S, HostedDispatcher, to_estimates, to_work
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Question, Tick, Worker
 from hibiscusstep.membership.view import View
@@ -102,9 +102,9 @@
     serves_itself : bool
         Whether to dispatch this instance's own requests of any pool on demand.
     kept : callable of PoolLearnt or None
-        Stores the values learnt by the dispatchers here, so that they survive restarts.
+        Stores the estimates of the dispatchers here, so that they survive restarts.
     on_rollout : callable of RolloutNews or None
-        Called with the progress of orders to change a pool's version.
+        Called with the progress of rollouts of a pool's version.
     """
 
     def __init__(
@@ -127,9 +127,9 @@
         self._reads_reports = reads_reports
         self._serves_itself = serves_itself
         self._standby_hosted: dict[str, HostedDispatcher] = {}
-        self._keep_learnt = kept
+        self._keep_estimates = kept
         self._on_rollout = on_rollout
-        self._learnt: dict[str, m.Learnt] = {}
+        self._estimates: dict[str, m.Learnt] = {}
         self._own_name = name
         self._address = address
         self._links = links
@@ -165,10 +165,10 @@
                 self._send(sender, reply)
             case Question(body=StatusAsk(pool=pool)):
                 message.reply(self.status(pool))
-            case Received(message=PoolLearnt() as learnt_message):
-                self._handle_learnt(learnt_message)
-            case PoolLearnt() as learnt_message:
-                self._handle_restored(learnt_message)
+            case Received(message=PoolLearnt() as estimates_message):
+                self._handle_estimates(estimates_message)
+            case PoolLearnt() as estimates_message:
+                self._handle_restored(estimates_message)
             case Received(sender=sender, message=body):
                 self._handle_pool_message(sender, body)
             case _PolledLoad(pool=pool, report=report):
@@ -230,7 +230,7 @@
             ):
                 hosted.told = now
                 self._log_state(hosted, now)
-                self._send_learnt(hosted)
+                self._send_estimates(hosted)
 
     def _drop_silent_instances(self, hosted: HostedDispatcher, now: float) -> None:
         """Drop the requests of silent instances where there is no full mesh."""
@@ -241,24 +241,24 @@
             del hosted.heard[name]
             self._feed(hosted, m.InstanceGone(name))
 
-    def _send_learnt(self, hosted: HostedDispatcher) -> None:
-        """Send the learnt values to the neighbours: any may become the dispatcher."""
-        learnt = hosted.dispatcher.learnt
-        if not learnt:
+    def _send_estimates(self, hosted: HostedDispatcher) -> None:
+        """Send a dispatcher's estimates to the neighbours: any may take over."""
+        estimates = hosted.dispatcher.learnt
+        if not estimates:
             return
         pool = hosted.dispatcher.pool_name
-        learnt_message = PoolLearnt(
+        estimates_message = PoolLearnt(
             pool,
-            list(learnt.slowness),
-            list(learnt.slowness.values()),
-            learnt.first,
-            learnt.token,
-            learnt.share,
+            list(estimates.slowness),
+            list(estimates.slowness.values()),
+            estimates.first,
+            estimates.token,
+            estimates.share,
         )
-        if self._keep_learnt:
-            self._keep_learnt(learnt_message)
+        if self._keep_estimates:
+            self._keep_estimates(estimates_message)
         for address in self._view.neighbours(self._address):
-            self._links.tell(Send(address, learnt_message))
+            self._links.tell(Send(address, estimates_message))
 
     def _report_rollout(
         self, hosted: HostedDispatcher, now: float, concluded: m.Conclude | None = None
@@ -278,24 +278,24 @@
         verdict = (concluded.state, concluded.reason) if concluded else ()
         self._on_rollout(RolloutNews(pool, number, rollout.progress, *verdict))
 
-    def _handle_learnt(self, learnt_message: PoolLearnt) -> None:
-        """Store values that another dispatcher learnt, in case this one takes over."""
+    def _handle_estimates(self, estimates_message: PoolLearnt) -> None:
+        """Store another dispatcher's estimates, in case this instance takes over."""
         for follower in self._view.followers.values():
-            self._links.tell(Send(follower.peer_address, learnt_message))
-        self._learnt[learnt_message.pool] = to_learnt(learnt_message)
-        if learnt_message.pool in self._standby_hosted:
+            self._links.tell(Send(follower.peer_address, estimates_message))
+        self._estimates[estimates_message.pool] = to_estimates(estimates_message)
+        if estimates_message.pool in self._standby_hosted:
             self._feed(
-                self._standby_hosted[learnt_message.pool],
-                self._learnt[learnt_message.pool],
+                self._standby_hosted[estimates_message.pool],
+                self._estimates[estimates_message.pool],
             )
 
-    def _handle_restored(self, learnt_message: PoolLearnt) -> None:
-        """Use stored values from before a restart where nothing newer is known."""
-        restored = to_learnt(learnt_message, old=True)
-        self._learnt.setdefault(learnt_message.pool, restored)
+    def _handle_restored(self, estimates_message: PoolLearnt) -> None:
+        """Use stored estimates from before a restart where none newer are known."""
+        restored = to_estimates(estimates_message, old=True)
+        self._estimates.setdefault(estimates_message.pool, restored)
         for all_hosted in (self._hosted, self._standby_hosted):
-            if learnt_message.pool in all_hosted:
-                self._feed(all_hosted[learnt_message.pool], restored)
+            if estimates_message.pool in all_hosted:
+                self._feed(all_hosted[estimates_message.pool], restored)
 
     def _log_state(self, hosted: HostedDispatcher, now: float) -> None:
         """Log the dispatcher's estimates of its targets."""
@@ -325,8 +325,8 @@
                 self._make_dispatcher(pool, self._configuration, alone=self._own_name)
             )
             self._standby_hosted[pool] = hosted
-            if pool in self._learnt:
-                self._feed(hosted, self._learnt[pool])
+            if pool in self._estimates:
+                self._feed(hosted, self._estimates[pool])
             self._feed(hosted, m.Recovered())
         self._tick_in(TICK_S)
         hosted = self._standby_hosted[pool]
@@ -450,8 +450,8 @@
             if self._reads_reports:
                 hosted.poller = asyncio.create_task(self._poll_load_reports(pool))
             self._hosted[pool] = hosted
-            if pool in self._learnt:
-                self._feed(hosted, self._learnt[pool])
+            if pool in self._estimates:
+                self._feed(hosted, self._estimates[pool])
             decision("dispatcher-taken", pool=pool)
         if own_pools:
             self._tick_in(TICK_S)
--- a/hibiscusstep/duty.py
+++ b/hibiscusstep/duty.py
@@ -7,7 +7,7 @@
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.base import PoolDispatcher
 
-__all__ = ["TICK_S", "HostedDispatcher", "to_learnt", "to_work"]
+__all__ = ["TICK_S", "HostedDispatcher", "to_estimates", "to_work"]
 
 # Seconds between a dispatcher's ticks, at which it applies timeouts.
 TICK_S = 0.05
@@ -22,7 +22,8 @@
     the last message of each instance. `signed` is the time of the last keepalives to
     instances with waiting requests, `sign_interval` the seconds until the next.
     `told` is the time of the last log of the state, `rollout_told` that of the last
-    report of the rollout's progress.
+    report of the rollout's progress. `since` is when the dispatcher was created, 0 for
+    one that dispatches own requests only.
     """
 
     dispatcher: PoolDispatcher
@@ -38,7 +39,7 @@
     rollout_told: float = 0.0
 
 
-def to_learnt(message: PoolLearnt, old: bool = False) -> m.Learnt:
+def to_estimates(message: PoolLearnt, old: bool = False) -> m.Learnt:
     """Convert a peer message into the message that a dispatcher handles."""
     slowness = dict(zip(message.targets, message.slowness, strict=True))
     return m.Learnt(slowness, message.first, message.token, message.share, old)
