--- a/hibiscusstep/answers.py
+++ b/hibiscusstep/answers.py
@@ -104,7 +104,7 @@
         self._address = address
         self._links = links
         self._max_bytes = max_bytes
-        self._bytes = 0
+        self._kept_bytes = 0
         self._view = View()
         self._attempts: OrderedDict[str, _Attempt] = OrderedDict()
         self._pending_fetches: dict[str, Question] = {}
@@ -131,7 +131,7 @@
     def _finish(self, attempt: str, answer: KeptAnswer) -> None:
         entry = self._attempts.setdefault(attempt, _Attempt())
         entry.answer = answer
-        self._bytes += len(answer.body)
+        self._kept_bytes += len(answer.body)
         for waiting in entry.waiting:
             waiting.reply(answer)
         entry.waiting = []
@@ -141,11 +141,11 @@
         """Evict the oldest answers and attempts, but never running attempts."""
         for attempt, entry in list(self._attempts.items()):
             too_many = len(self._attempts) > MAX_ATTEMPTS
-            if self._bytes <= self._max_bytes and not too_many:
+            if self._kept_bytes <= self._max_bytes and not too_many:
                 return
             if entry.answer is None:
                 continue
-            self._bytes -= len(entry.answer.body)
+            self._kept_bytes -= len(entry.answer.body)
             if too_many:
                 del self._attempts[attempt]
             elif entry.answer.body:
--- a/hibiscusstep/attempt.py
+++ b/hibiscusstep/attempt.py
@@ -83,8 +83,8 @@
 
     async def dispatch(self) -> None:
         """Send the request to the target once and relay the answer."""
-        order = self._order()
-        target = self._target()
+        order = self._make_order()
+        target = self._make_target()
         self._dispatched_at = asyncio.get_running_loop().time()
         self._dispatched_before = self._progress.dispatched
         self._progress.dispatched = True
@@ -130,7 +130,7 @@
             else self._dispatched_at - now
         )
 
-    def _order(self) -> Order:
+    def _make_order(self) -> Order:
         admitted = self._admitted
         return Order(
             admitted.request,
@@ -145,13 +145,13 @@
             admitted.route.answer_timeout,
         )
 
-    def _target(self):
+    def _make_target(self):
         pool = self._configuration.pools[self._admitted.route.pool]
         name = self._granted.target
         if name not in pool.targets:
             raise RetryElsewhere(target_failed=False)
-        kind = get_target_by_kind(pool.kind)
-        return kind(name, pool.targets[name].address, self._sessions)
+        target_class = get_target_by_kind(pool.kind)
+        return target_class(name, pool.targets[name].address, self._sessions)
 
     def _handle_send_error(self, error: TargetError) -> None:
         if error.sent:
--- a/hibiscusstep/caller.py
+++ b/hibiscusstep/caller.py
@@ -45,14 +45,14 @@
         self._being_admitted = 0
         self._in_force = InForce()
         self._draining = False
-        self._open: set[asyncio.Task] = set()
+        self._open_tasks: set[asyncio.Task] = set()
         self._idle = asyncio.Event()
         self._idle.set()
 
     @property
     def open_requests(self) -> int:
         """Number of requests whose answer is not complete."""
-        return len(self._open)
+        return len(self._open_tasks)
 
     def take(self, in_force: InForce) -> None:
         """Use a configuration for all later requests."""
@@ -68,8 +68,8 @@
 
     def cut(self) -> list[str]:
         """Cancel all open requests and return their ids."""
-        names = [task.get_name() for task in self._open]
-        for task in self._open:
+        names = [task.get_name() for task in self._open_tasks]
+        for task in self._open_tasks:
             task.cancel()
         return names
 
@@ -86,7 +86,7 @@
         try:
             delivery, sink = await self._admit(request)
         except Problem as problem:
-            self._count("", "", problem.name)
+            self._count_request("", "", problem.name)
             await sink.send_problem(problem)
             return sink.response
         finally:
@@ -100,7 +100,9 @@
                 delivery.on_caller_disconnected()
             raise
         admitted = delivery.admitted
-        self._count(admitted.tier, admitted.route_name, str(sink.response.status))
+        self._count_request(
+            admitted.tier, admitted.route_name, str(sink.response.status)
+        )
         first_byte_seconds = sink.started_at - received_at
         self._metrics.first_byte.observe({"tier": admitted.tier}, first_byte_seconds)
         return sink.response
@@ -118,7 +120,7 @@
                 Outcome.NOT_RUN,
                 1.0,
             )
-        if len(self._open) + self._being_admitted > self._max_open:
+        if len(self._open_tasks) + self._being_admitted > self._max_open:
             detail = "This instance has reached its limit of open requests."
             raise Problem(503, "instance-full", detail, Outcome.NOT_RUN, 1.0)
         head = _request_head(request)
@@ -144,16 +146,16 @@
             raise Problem(400, "malformed", f"The body: {cause}"[:200]) from None
 
     def _track(self, task: asyncio.Task) -> None:
-        self._open.add(task)
+        self._open_tasks.add(task)
         self._idle.clear()
         task.add_done_callback(self._untrack)
 
     def _untrack(self, task: asyncio.Task) -> None:
-        self._open.discard(task)
-        if not self._open:
+        self._open_tasks.discard(task)
+        if not self._open_tasks:
             self._idle.set()
 
-    def _count(self, tier: str, route: str, outcome: str) -> None:
+    def _count_request(self, tier: str, route: str, outcome: str) -> None:
         labels = {"tier": tier, "route": route, "outcome": outcome}
         self._metrics.requests.inc(labels)
 
--- a/hibiscusstep/delivery.py
+++ b/hibiscusstep/delivery.py
@@ -269,9 +269,9 @@
         )
 
     def _interrupt_problem(self) -> Problem:
-        makers = {
+        problem_factories = {
             _Interrupt.STOPPED: self._progress.stopped,
             _Interrupt.CALLER_DISCONNECTED: self._progress.caller_left,
             _Interrupt.NONE: self._progress.timed_out,
         }
-        return makers[self._interrupt]()
+        return problem_factories[self._interrupt]()
--- a/hibiscusstep/desk.py
+++ b/hibiscusstep/desk.py
@@ -176,11 +176,13 @@
         return self._pool_states[pool]
 
     def _request_grant(self, question: Question) -> None:
-        wanted = question.body
+        grant_request = question.body
         now = asyncio.get_running_loop().time()
         if not self._has_waiting:
             self._tick_in(self._busy_tick_s)
-        self._send_ask(wanted.pool, _TrackedRequest(question, wanted, now, asked=now))
+        self._send_ask(
+            grant_request.pool, _TrackedRequest(question, grant_request, now, asked=now)
+        )
 
     def _send_ask(self, pool: str, tracked: _TrackedRequest) -> None:
         ask = f"{self._incarnation}.{next(self._ask_numbers)}"
@@ -246,17 +248,21 @@
                         Refused(Reason.UNAVAILABLE, UNAVAILABLE_RETRY_S)
                     )
 
-    def _is_overdue(self, state: _PoolState, wanted: GrantRequest, now: float) -> bool:
+    def _is_overdue(
+        self, state: _PoolState, grant_request: GrantRequest, now: float
+    ) -> bool:
         """Whether a request has waited too long for a dispatcher's decision.
 
         A dispatcher that is alive may keep a request waiting beyond its deadline if a
         retry would have no better chance.
         """
-        if wanted.never_shed and state.dispatcher:
+        if grant_request.never_shed and state.dispatcher:
             return False
         recently_heard = self._standby_after and now - state.heard < state.patience
         latest = (
-            max(wanted.deadline, wanted.ends) if recently_heard else wanted.deadline
+            max(grant_request.deadline, grant_request.ends)
+            if recently_heard
+            else grant_request.deadline
         )
         return latest + DECISION_GRACE_S < now
 
--- a/hibiscusstep/grants.py
+++ b/hibiscusstep/grants.py
@@ -28,7 +28,7 @@
     due : float
         Latest time at which the first token is on time, on the loop's clock.
     ends : float
-        Latest time of the whole answer, on the loop's clock; 0 if not known.
+        Latest time of the complete answer, on the loop's clock; 0 if not known.
     """
 
     pool: str
--- a/hibiscusstep/keys.py
+++ b/hibiscusstep/keys.py
@@ -117,7 +117,7 @@
         dispatched : bool
             Whether it may have reached a target.
         kept_answer : KeptAnswer or None
-            Its whole answer, if there is one.
+            Its complete answer, if there is one.
         """
         if not self._enabled:
             return
--- a/hibiscusstep/sink.py
+++ b/hibiscusstep/sink.py
@@ -24,7 +24,7 @@
     request_id : str
         Id of the request, returned with every answer.
     keep : bool
-        Whether the whole answer is kept for a repeat of its key; then writing
+        Whether the complete answer is kept for a repeat of its key; then writing
         continues if the caller disconnects.
 
     Attributes
