--- a/hibiscusstep/admission.py
+++ b/hibiscusstep/admission.py
@@ -125,7 +125,7 @@
     scheme, _, key = head.authorization.partition(" ")
     customer = configuration.by_key_hash.get(hash_key(key.strip()))
     if scheme.lower() != "bearer" or customer is None:
-        raise Problem(401, "unauthorized", "Send a customer's key as Bearer token.")
+        raise Problem(401, "unauthorized", "Present a customer's key as Bearer token.")
     return customer
 
 
--- a/hibiscusstep/attempt.py
+++ b/hibiscusstep/attempt.py
@@ -168,15 +168,11 @@
         self.finish(TargetOutcome.BROKEN)
         self._explain_error(error)
         if not self._admitted.route.idempotent:
-            raise self._progress.unknown(
-                f"The target's answer was interrupted: {error.detail}"
-            )
+            raise self._progress.unknown(f"The target broke off: {error.detail}")
         if self._sink.has_started and (
             self._sink.written is None or not self._admitted.stream
         ):
-            raise self._progress.failed(
-                f"The target's answer was interrupted: {error.detail}"
-            )
+            raise self._progress.failed(f"The target broke off: {error.detail}")
         raise RetryElsewhere
 
     def _explain_error(self, error: TargetError) -> None:
@@ -216,7 +212,7 @@
 
     def _check_continuation(self, continuation: Continuation) -> None:
         if not continuation.fits:
-            detail = "The stream was interrupted, and the answer of a retry differed."
+            detail = "The stream broke off, and a second answer was not the same."
             raise self._progress.failed(detail)
 
     async def _relay_whole(self, answer: Answer) -> None:
--- a/hibiscusstep/caller.py
+++ b/hibiscusstep/caller.py
@@ -121,7 +121,7 @@
                 1.0,
             )
         if len(self._open_tasks) + self._being_admitted > self._max_open:
-            detail = "This instance has reached its limit of open requests."
+            detail = "This instance holds as many requests as it may."
             raise Problem(503, "instance-full", detail, Outcome.NOT_RUN, 1.0)
         head = _request_head(request)
         customer = authenticate(head, configuration)
@@ -138,7 +138,7 @@
             async with asyncio.timeout(self._body_timeout):
                 return await request.read()
         except TimeoutError:
-            detail = "The body was not received in time."
+            detail = "The body did not come in time."
             raise Problem(408, "body-timeout", detail) from None
         except web.HTTPRequestEntityTooLarge:
             raise Problem(413, "too-large", "The body is too large.") from None
--- a/hibiscusstep/delivery.py
+++ b/hibiscusstep/delivery.py
@@ -171,7 +171,7 @@
             raise self._interrupt_problem() from None
         finally:
             self._timeout = None
-        raise self._progress.failed("No target gave a complete answer.")
+        raise self._progress.failed("No target gave a whole answer.")
 
     async def _replay_earlier(self) -> bool:
         """Replay the answer of an earlier attempt with the key, if there was one."""
@@ -204,7 +204,7 @@
             return True
         except RetryElsewhere as error:
             if error.target_failed and not self._services.retries.take():
-                detail = "The target failed, and the retry budget is used up."
+                detail = "The target failed, and too many requests are repeated now."
                 raise self._progress.failed(detail) from None
             self._failed_targets.append(granted.target)
             return False
--- a/hibiscusstep/operators.py
+++ b/hibiscusstep/operators.py
@@ -72,9 +72,7 @@
         if request.path not in ("/health", "/ready"):
             authorization = request.headers.get("Authorization", "").encode()
             if not hmac.compare_digest(authorization, f"Bearer {self._key}".encode()):
-                return web.json_response(
-                    {"error": "the operators' key is required"}, status=401
-                )
+                return web.json_response({"error": "operators' key wanted"}, status=401)
         return await handler(request)
 
     async def _health(self, _request: web.Request) -> web.Response:
@@ -100,7 +98,5 @@
     async def _explain(self, request: web.Request) -> web.Response:
         steps = self._explainer.explain(request.match_info["request"])
         if not steps:
-            return web.json_response(
-                {"error": "no steps of this request on this instance"}, status=404
-            )
+            return web.json_response({"error": "not remembered here"}, status=404)
         return web.json_response([asdict(step) for step in steps])
--- a/hibiscusstep/progress.py
+++ b/hibiscusstep/progress.py
@@ -11,17 +11,17 @@
 __all__ = ["Progress"]
 
 _REFUSALS = {
-    Reason.LOAD: (503, "overloaded", "The pool cannot start it before its deadline."),
-    Reason.DEADLINE: (503, "deadline", "It could not start before its deadline."),
+    Reason.LOAD: (503, "overloaded", "The pool cannot begin it before its deadline."),
+    Reason.DEADLINE: (503, "deadline", "It could not begin before its deadline."),
     Reason.HIGHER_TIER: (503, "displaced", "Higher tiers need the whole pool."),
     Reason.IMPOSSIBLE: (
         422,
         "deadline-too-short",
-        "Even an idle target would start its answer after the deadline.",
+        "Even an idle target would begin its answer after the deadline.",
     ),
     Reason.CUSTOMER_LIMIT: (429, "customer-limit", "Too many of your requests wait."),
-    Reason.NO_TARGET: (503, "no-target", "No target of the pool accepts requests."),
-    Reason.UNAVAILABLE: (503, "unavailable", "Part of the system is unreachable."),
+    Reason.NO_TARGET: (503, "no-target", "No target of the pool takes work."),
+    Reason.UNAVAILABLE: (503, "unavailable", "Part of the system cannot be reached."),
 }
 
 _EVENT_KINDS = {
@@ -103,22 +103,22 @@
     def refused(self, refusal: Refused) -> Problem:
         """Return the problem of a refusal by the dispatcher."""
         if self._may_have_run:
-            return self.unknown("It was sent to a target that gave no complete answer.")
+            return self.unknown("It was sent to a target that gave no whole answer.")
         status, name, detail = _REFUSALS[refusal.reason]
         if self.dispatched:
-            detail = f"An earlier attempt failed. {detail}"
+            detail = f"An attempt broke off, and then: {detail}"
         after = None if refusal.reason is Reason.IMPOSSIBLE else refusal.retry_after
         return Problem(status, name, detail, self._outcome, after)
 
     def stopped(self) -> Problem:
         """Return the problem of a request that was stopped for a higher tier."""
         self.record(EventKind.STOPPED)
-        detail = "It was stopped for a higher tier before its answer was complete."
+        detail = "It was stopped for a higher tier before its answer was whole."
         return self._abandoned(503, "stopped", detail, 1.0)
 
     def caller_left(self) -> Problem:
         """Return the problem of a request whose caller disconnected."""
-        return self._abandoned(499, "caller-left", "The caller disconnected.", None)
+        return self._abandoned(499, "caller-left", "The caller left.", None)
 
     def timed_out(self) -> Problem:
         """Return the problem of an answer that took too long."""
@@ -136,7 +136,7 @@
 
     def internal(self) -> Problem:
         """Return the problem of an internal error."""
-        detail = "Internal error of the scheduler; see its log."
+        detail = "An error of the scheduler itself; it is in its log."
         outcome = Outcome.UNKNOWN if self._may_have_run else self._outcome
         after = None if self.dispatched else 1.0
         return Problem(500, "internal", detail, outcome, after)
@@ -152,5 +152,5 @@
 
     def _abandoned(self, status: int, name: str, detail: str, after) -> Problem:
         if self._may_have_run:
-            return self.unknown("It was sent to a target and then abandoned.")
+            return self.unknown("It was sent to a target and then given up.")
         return Problem(status, name, detail, self._outcome, after)
