--- a/examples/slopes.py
+++ b/examples/slopes.py
@@ -24,10 +24,10 @@
 from hibiscusstep.configuration.models import load_configuration
 from hibiscusstep.configuration.settings import Settings
 from hibiscusstep.configuration.stored import CONFIGURATION_KEY, Stored
-from hibiscusstep.entry import Entry
+from hibiscusstep.instance import Entry
 from hibiscusstep.log import decision, set_up_logging
-from hibiscusstep.membership.grouped import GroupedMembership
-from hibiscusstep.membership.worker import Membership, OwnState
+from hibiscusstep.membership.hierarchical import GroupedMembership
+from hibiscusstep.membership.mesh import Membership, OwnState
 from hibiscusstep.peerlink import Authenticator, PeerLinks
 from hibiscusstep.platform.settings import HEARTBEAT_INTERVAL_S, SUSPECT_AFTER_S
 from hibiscusstep.routing import messages as m
--- a/hibiscusstep/sink.py
+++ b/hibiscusstep/answer_sink.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.sink: sends an answer to the caller and keeps it for repeats."""
+"""hibiscusstep.answer_sink: sends an answer to the caller and keeps it for repeats."""
 
 import asyncio
 
--- a/hibiscusstep/attempt.py
+++ b/hibiscusstep/attempt.py
@@ -3,15 +3,15 @@
 import asyncio
 
 from hibiscusstep.admission import AdmittedRequest
+from hibiscusstep.answer_sink import AnswerSink
 from hibiscusstep.configuration.models import Configuration
 from hibiscusstep.continuation import Continuation
-from hibiscusstep.desk import Desk
+from hibiscusstep.dispatch_client import Desk
 from hibiscusstep.errors import TargetError
 from hibiscusstep.events import EventKind
-from hibiscusstep.grants import Ended, Granted, Started
+from hibiscusstep.grant_messages import Ended, Granted, Started
 from hibiscusstep.progress import Progress
 from hibiscusstep.routing.messages import Outcome as TargetOutcome
-from hibiscusstep.sink import AnswerSink
 from hibiscusstep.target import Answer, Order, get_target_by_kind
 
 __all__ = ["Attempt", "RetryElsewhere"]
--- a/hibiscusstep/caller.py
+++ b/hibiscusstep/caller_server.py
@@ -1,15 +1,15 @@
-"""hibiscusstep.caller: the HTTP server for callers."""
+"""hibiscusstep.caller_server: the HTTP server for callers."""
 
 import asyncio
 
 from aiohttp import web
 
 from hibiscusstep.admission import RequestHead, admit, authenticate, find_route
+from hibiscusstep.answer_sink import AnswerSink
 from hibiscusstep.configuration.in_force import InForce
 from hibiscusstep.delivery import Delivery, DeliveryServices
 from hibiscusstep.metrics import Metrics
 from hibiscusstep.problem import Outcome, Problem
-from hibiscusstep.sink import AnswerSink
 
 __all__ = ["CallerBorder"]
 
--- a/hibiscusstep/claims/claimer.py
+++ b/hibiscusstep/claims/client.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.claims.claimer: sends the claims of requests to the shard writers."""
+"""hibiscusstep.claims.client: sends the claims of requests to the shard writers."""
 
 import asyncio
 import itertools
@@ -10,8 +10,8 @@
 from hibiscusstep.configuration.in_force import InForce
 from hibiscusstep.configuration.models import ClaimSettings
 from hibiscusstep.mailbox import Question, Tick, Worker
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import Member, View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import ClaimAsk, ClaimRelease, ClaimReply, Received
 from hibiscusstep.peerlink import LinkLost, Send
 
--- a/hibiscusstep/claims/writer.py
+++ b/hibiscusstep/claims/writer.py
@@ -11,8 +11,8 @@
 from hibiscusstep.configuration.in_force import InForce
 from hibiscusstep.configuration.models import ClaimSettings
 from hibiscusstep.mailbox import Tick, Worker
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import ClaimAsk, ClaimRelease, ClaimReply, Received
 from hibiscusstep.peerlink import Send
 from hibiscusstep.store import Platform
--- a/hibiscusstep/cmdline/client.py
+++ b/hibiscusstep/cmdline/client.py
@@ -20,9 +20,9 @@
 from hibiscusstep.configuration.models import hash_key, load_configuration
 from hibiscusstep.configuration.options import options_page
 from hibiscusstep.errors import HibiscusstepError
-from hibiscusstep.operations import OperatorClient
+from hibiscusstep.operator_client import OperatorClient
 from hibiscusstep.store import Platform, get_platform_by_name
-from hibiscusstep.story import read_lines, tell_story
+from hibiscusstep.timeline import read_lines, tell_story
 
 __all__ = ["main"]
 
--- a/hibiscusstep/cmdline/entry.py
+++ b/hibiscusstep/cmdline/entry.py
@@ -69,7 +69,7 @@
 
 def _load_own(path: Path, _serves: bool):
     from hibiscusstep.configuration.settings import load_settings
-    from hibiscusstep.entry import Entry
+    from hibiscusstep.instance import Entry
 
     settings = load_settings(path)
     _exit_if_stopped()
--- a/hibiscusstep/cmdline/load.py
+++ b/hibiscusstep/cmdline/load.py
@@ -22,7 +22,7 @@
 from hibiscusstep.load.plot import plot_account, plot_rollouts, plot_summary
 from hibiscusstep.load.report import make_report
 from hibiscusstep.load.rollout_report import play_rollout, rollout_table
-from hibiscusstep.operations import OperatorClient
+from hibiscusstep.operator_client import OperatorClient
 from hibiscusstep.policies import POLICIES
 from hibiscusstep.store import get_platform_by_name
 
--- a/hibiscusstep/configuration/keeper.py
+++ b/hibiscusstep/configuration/updater.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.configuration.keeper: gets new versions from the platform or peers."""
+"""hibiscusstep.configuration.updater: gets new versions from the platform or peers."""
 
 import asyncio
 import logging
@@ -11,8 +11,8 @@
 from hibiscusstep.errors import ConfigurationError, PlatformNotFound
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Tick, Worker
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import ConfigurationAsk, ConfigurationReply, Received
 from hibiscusstep.peerlink import Send
 from hibiscusstep.store import Platform
--- a/hibiscusstep/delivery.py
+++ b/hibiscusstep/delivery.py
@@ -6,14 +6,15 @@
 from dataclasses import dataclass
 
 from hibiscusstep.admission import AdmittedRequest
-from hibiscusstep.answers import AnswerState, KeptAnswer
+from hibiscusstep.answer_sink import AnswerSink
 from hibiscusstep.attempt import Attempt, RetryElsewhere
 from hibiscusstep.configuration.models import Configuration
-from hibiscusstep.desk import Desk
+from hibiscusstep.dispatch_client import Desk
 from hibiscusstep.events import EventKind, NullRecorder
 from hibiscusstep.explain import Explainer
-from hibiscusstep.grants import Granted, GrantRequest, Refused
-from hibiscusstep.keys import KeyGuard
+from hibiscusstep.grant_messages import Granted, GrantRequest, Refused
+from hibiscusstep.idempotency import KeyGuard
+from hibiscusstep.kept_answers import AnswerState, KeptAnswer
 from hibiscusstep.mailbox import MailboxFull
 from hibiscusstep.peer import WorkInfo
 from hibiscusstep.problem import Problem
@@ -21,7 +22,6 @@
 from hibiscusstep.routing.messages import Outcome as TargetOutcome
 from hibiscusstep.routing.messages import Reason
 from hibiscusstep.routing.retries import RetryBudget
-from hibiscusstep.sink import AnswerSink
 
 __all__ = ["Delivery", "DeliveryServices"]
 
--- a/hibiscusstep/desk.py
+++ b/hibiscusstep/dispatch_client.py
@@ -1,15 +1,15 @@
-"""hibiscusstep.desk: requests grants for an instance's requests from dispatchers."""
+"""hibiscusstep.dispatch_client: requests grants from the dispatchers of pools."""
 
 import asyncio
 import itertools
 from dataclasses import dataclass, field, replace
 
 from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.grants import Ended, Granted, GrantRequest, Refused, Started
+from hibiscusstep.grant_messages import Ended, Granted, GrantRequest, Refused, Started
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Question, Tick, Worker
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import Member, View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import (
     NotDispatcher,
     PoolAsk,
--- a/hibiscusstep/dispatching.py
+++ b/hibiscusstep/dispatcher_host.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.dispatching: runs the dispatchers of an instance's pools."""
+"""hibiscusstep.dispatcher_host: runs the dispatchers of an instance's pools."""
 
 from __future__ import annotations
 
@@ -11,11 +11,16 @@
 import orjson
 
 from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.duty import TICK_S, HostedDispatcher, to_estimates, to_work
+from hibiscusstep.hosted_dispatcher import (
+    TICK_S,
+    HostedDispatcher,
+    to_estimates,
+    to_work,
+)
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Question, Tick, Worker
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import (
     NotDispatcher,
     PoolAsk,
--- a/hibiscusstep/forwarding/exchange.py
+++ b/hibiscusstep/forwarding/exchange.py
@@ -5,7 +5,7 @@
 
 from aiohttp import web
 
-from hibiscusstep.dispatching import TargetLoad
+from hibiscusstep.dispatcher_host import TargetLoad
 from hibiscusstep.errors import TargetError
 from hibiscusstep.forwarding.connections import Connection, Reply
 from hibiscusstep.forwarding.dialect import AnswerHead, Order
--- a/hibiscusstep/forwarding/incoming.py
+++ b/hibiscusstep/forwarding/incoming.py
@@ -6,8 +6,8 @@
 import xxhash
 from aiohttp import web
 
-from hibiscusstep.desk import Desk
-from hibiscusstep.dispatching import Dispatching
+from hibiscusstep.dispatch_client import Desk
+from hibiscusstep.dispatcher_host import Dispatching
 from hibiscusstep.forwarding.connections import ConnectionPool
 from hibiscusstep.forwarding.dialect import Dialect, RequestHead
 from hibiscusstep.forwarding.fingerprint import fingerprint
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -12,8 +12,8 @@
 
 from hibiscusstep.clock import SuspensionWatch
 from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.desk import Desk
-from hibiscusstep.dispatching import Dispatching
+from hibiscusstep.dispatch_client import Desk
+from hibiscusstep.dispatcher_host import Dispatching
 from hibiscusstep.errors import ConfigurationError
 from hibiscusstep.forwarding.beliefs import BeliefKeeper
 from hibiscusstep.forwarding.border import ForwardingBorder
@@ -38,9 +38,9 @@
 from hibiscusstep.forwarding.surroundings import Surroundings
 from hibiscusstep.log import decision, dropped_lines, keep_flushing
 from hibiscusstep.mailbox import Worker
-from hibiscusstep.membership.grouped import GroupedMembership
+from hibiscusstep.membership.hierarchical import GroupedMembership
+from hibiscusstep.membership.mesh import OwnState, ViewChanged
 from hibiscusstep.membership.view import View
-from hibiscusstep.membership.worker import OwnState, ViewChanged
 from hibiscusstep.peer import (
     Beat,
     ConfigurationAsk,
--- a/hibiscusstep/forwarding/placement.py
+++ b/hibiscusstep/forwarding/placement.py
@@ -8,7 +8,7 @@
 from hibiscusstep.forwarding.pace import Pace
 from hibiscusstep.forwarding.quota_claim import QUOTA_RETRY_S
 from hibiscusstep.forwarding.standing import Standing
-from hibiscusstep.grants import Ended, Granted, GrantRequest, Refused, Started
+from hibiscusstep.grant_messages import Ended, Granted, GrantRequest, Refused, Started
 from hibiscusstep.mailbox import MailboxFull
 from hibiscusstep.peer import WorkInfo
 from hibiscusstep.routing import messages as m
--- a/hibiscusstep/forwarding/quarantine.py
+++ b/hibiscusstep/forwarding/quarantine.py
@@ -15,9 +15,9 @@
 )
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Tick, Worker
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.neighbours import Neighbours
 from hibiscusstep.membership.view import View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import Received, SuspectState, SuspectStates
 from hibiscusstep.store import StoreRestored, SuspectStore
 
--- a/hibiscusstep/forwarding/quota.py
+++ b/hibiscusstep/forwarding/quota.py
@@ -14,8 +14,8 @@
 from hibiscusstep.forwarding.usage import UsageLedger
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Tick, Worker
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import Received, Usage, UsageAsk, UsageHistory, UsageScope
 from hibiscusstep.peerlink import Send
 from hibiscusstep.store import StoreRestored
--- a/hibiscusstep/forwarding/rollouts.py
+++ b/hibiscusstep/forwarding/rollouts.py
@@ -16,9 +16,9 @@
 from hibiscusstep.forwarding.rollout_book import RolloutBook
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Tick, Worker
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.neighbours import Neighbours
 from hibiscusstep.membership.view import View, rendezvous
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import Received, RolloutRecord, RolloutRecords, RolloutWrite
 from hibiscusstep.rollout.news import RolloutNews
 from hibiscusstep.rollout.order import RolloutOrder, RolloutState
--- a/hibiscusstep/grants.py
+++ b/hibiscusstep/grant_messages.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.grants: messages between an instance's requests and its desk."""
+"""hibiscusstep.grant_messages: messages between an instance's requests and the dispatch client."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
--- a/hibiscusstep/duty.py
+++ b/hibiscusstep/hosted_dispatcher.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.duty: state of a hosted dispatcher, and conversion of peer messages."""
+"""hibiscusstep.hosted_dispatcher: a hosted dispatcher; conversion of peer messages."""
 
 import asyncio
 from dataclasses import dataclass, field
--- a/hibiscusstep/keys.py
+++ b/hibiscusstep/idempotency.py
@@ -1,9 +1,13 @@
-"""hibiscusstep.keys: ensures at most one dispatch per idempotency key."""
+"""hibiscusstep.idempotency: ensures at most one dispatch per idempotency key."""
 
 import asyncio
 
 from hibiscusstep.admission import AdmittedRequest
-from hibiscusstep.answers import (
+from hibiscusstep.claims.client import Claimer, ClaimRequest, ReleaseRequest
+from hibiscusstep.claims.index import ClaimResult, Verdict
+from hibiscusstep.claims.records import ClaimRecord
+from hibiscusstep.events import EventKind, NullRecorder
+from hibiscusstep.kept_answers import (
     AnswerKeeper,
     AnswerState,
     AttemptEnded,
@@ -11,10 +15,6 @@
     FetchAnswer,
     KeptAnswer,
 )
-from hibiscusstep.claims.claimer import Claimer, ClaimRequest, ReleaseRequest
-from hibiscusstep.claims.index import ClaimResult, Verdict
-from hibiscusstep.claims.records import ClaimRecord
-from hibiscusstep.events import EventKind, NullRecorder
 from hibiscusstep.problem import Outcome, Problem
 
 __all__ = ["KeyGuard"]
--- a/hibiscusstep/entry.py
+++ b/hibiscusstep/instance.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.entry: one instance: its tasks, their wiring and its shutdown."""
+"""hibiscusstep.instance: one instance: its tasks, their wiring and its shutdown."""
 
 import asyncio
 import logging
@@ -8,24 +8,24 @@
 import orjson
 from aiohttp import web
 
-from hibiscusstep.answers import AnswerKeeper
-from hibiscusstep.caller import CallerBorder
-from hibiscusstep.claims.claimer import Claimer
+from hibiscusstep.caller_server import CallerBorder
+from hibiscusstep.claims.client import Claimer
 from hibiscusstep.claims.writer import ClaimWriter
 from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.configuration.keeper import ConfigurationKeeper
 from hibiscusstep.configuration.settings import Settings
+from hibiscusstep.configuration.updater import ConfigurationKeeper
 from hibiscusstep.delivery import DeliveryServices
-from hibiscusstep.desk import Desk
-from hibiscusstep.dispatching import Dispatching
+from hibiscusstep.dispatch_client import Desk
+from hibiscusstep.dispatcher_host import Dispatching
 from hibiscusstep.events import EventKind, NullRecorder, Recorder
 from hibiscusstep.explain import Explainer
-from hibiscusstep.keys import KeyGuard
+from hibiscusstep.idempotency import KeyGuard
+from hibiscusstep.kept_answers import AnswerKeeper
 from hibiscusstep.mailbox import Worker
+from hibiscusstep.membership.mesh import Membership, OwnState, ViewChanged
 from hibiscusstep.membership.view import View
-from hibiscusstep.membership.worker import Membership, OwnState, ViewChanged
 from hibiscusstep.metrics import Metrics
-from hibiscusstep.operators import OperatorBorder
+from hibiscusstep.operator_api import OperatorBorder
 from hibiscusstep.peer import (
     AnswerAsk,
     AnswerReply,
--- a/hibiscusstep/answers.py
+++ b/hibiscusstep/kept_answers.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.answers: keeps the outcomes of attempts with an idempotency key."""
+"""hibiscusstep.kept_answers: keeps the outcomes of attempts with an idempotency key."""
 
 import enum
 import itertools
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 
 from hibiscusstep.mailbox import Question, Worker
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import AnswerAsk, AnswerReply, Received
 from hibiscusstep.peerlink import Send
 
--- a/hibiscusstep/load/compare.py
+++ b/hibiscusstep/load/compare.py
@@ -14,7 +14,7 @@
 from hibiscusstep.load.drive import Driver
 from hibiscusstep.load.mix import Mix, arrivals
 from hibiscusstep.load.report import Report, make_report
-from hibiscusstep.operations import OperatorClient
+from hibiscusstep.operator_client import OperatorClient
 from hibiscusstep.store import Platform
 
 __all__ = ["Deployment", "Run", "compare", "summarize"]
--- a/hibiscusstep/membership/grouped.py
+++ b/hibiscusstep/membership/hierarchical.py
@@ -1,21 +1,21 @@
-"""hibiscusstep.membership.grouped: membership of a region too large for a full mesh."""
+"""hibiscusstep.membership.hierarchical: membership of a region with relays."""
 
 import asyncio
 from dataclasses import replace
 
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Tick
-from hibiscusstep.membership.recent_most import SlidingMaximum
-from hibiscusstep.membership.relays import MESH_SIZE, ParentSelector
-from hibiscusstep.membership.tracker import HeartbeatTracker
-from hibiscusstep.membership.view import View
-from hibiscusstep.membership.worker import (
+from hibiscusstep.membership.mesh import (
     FULL_HEARTBEAT_TICKS,
     LIST_INTERVAL_S,
     LIST_RETRY_S,
     Membership,
     heartbeat_of,
 )
+from hibiscusstep.membership.relays import MESH_SIZE, ParentSelector
+from hibiscusstep.membership.sliding_maximum import SlidingMaximum
+from hibiscusstep.membership.tracker import HeartbeatTracker
+from hibiscusstep.membership.view import View
 from hibiscusstep.peer import Beat, Heartbeat, Received, Relays
 from hibiscusstep.peerlink import LinkLost, Send
 from hibiscusstep.store import InstanceRecord
--- a/hibiscusstep/membership/worker.py
+++ b/hibiscusstep/membership/mesh.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.membership.worker: heartbeats of a full mesh and the resulting view."""
+"""hibiscusstep.membership.mesh: heartbeats of a full mesh and the resulting view."""
 
 from __future__ import annotations
 
--- a/hibiscusstep/membership/recent_most.py
+++ b/hibiscusstep/membership/sliding_maximum.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.membership.recent_most: maximum over a sliding time window."""
+"""hibiscusstep.membership.sliding_maximum: maximum over a sliding time window."""
 
 from collections import deque
 
--- a/hibiscusstep/operators.py
+++ b/hibiscusstep/operator_api.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.operators: the HTTP API for operators and the load balancer."""
+"""hibiscusstep.operator_api: the HTTP API for operators and the load balancer."""
 
 import asyncio
 import hmac
--- a/hibiscusstep/operations.py
+++ b/hibiscusstep/operator_client.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.operations: HTTP client of the instances' operator API."""
+"""hibiscusstep.operator_client: HTTP client of the instances' operator API."""
 
 import asyncio
 from collections.abc import Callable
--- a/hibiscusstep/progress.py
+++ b/hibiscusstep/progress.py
@@ -4,7 +4,7 @@
 from hibiscusstep.configuration.models import Configuration
 from hibiscusstep.events import EventKind, NullRecorder
 from hibiscusstep.explain import Explainer
-from hibiscusstep.grants import Refused
+from hibiscusstep.grant_messages import Refused
 from hibiscusstep.problem import Outcome, Problem
 from hibiscusstep.routing.messages import Reason
 
--- a/hibiscusstep/story.py
+++ b/hibiscusstep/timeline.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.story: builds a request's timeline from the instances' log lines."""
+"""hibiscusstep.timeline: builds a request's timeline from the instances' log lines."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -13,8 +13,8 @@
 from hibiscusstep.checker import check_history
 from hibiscusstep.configuration.settings import Settings
 from hibiscusstep.configuration.stored import CONFIGURATION_KEY, Stored
-from hibiscusstep.entry import Entry
 from hibiscusstep.events import EventKind, Recorder, read_history
+from hibiscusstep.instance import Entry
 from hibiscusstep.standins.batching import EngineSpeed
 from hibiscusstep.standins.engine import make_engine_app
 from hibiscusstep.standins.service import make_service_app
--- a/tests/quota_region.py
+++ b/tests/quota_region.py
@@ -14,8 +14,8 @@
 from hibiscusstep.forwarding.model import CustomerRule, Quota
 from hibiscusstep.forwarding.quota import CustomersChanged, QuotaKeeper
 from hibiscusstep.mailbox import Tick
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import Member, View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import Received
 from hibiscusstep.store import UseStore
 
--- a/tests/test_sink.py
+++ b/tests/test_answer_sink.py
@@ -1,7 +1,7 @@
 import asyncio
 
+from hibiscusstep.answer_sink import MAX_KEPT_BYTES, AnswerSink
 from hibiscusstep.problem import Problem
-from hibiscusstep.sink import MAX_KEPT_BYTES, AnswerSink
 
 
 def detached_sink(keep=True):
--- a/tests/test_claimer.py
+++ b/tests/test_claim_client.py
@@ -1,14 +1,14 @@
-"""hibiscusstep.claims.claimer: which writer a claim is sent to."""
+"""hibiscusstep.claims.client: which writer a claim is sent to."""
 
 import asyncio
 
 import pytest
 
-from hibiscusstep.claims.claimer import Claimer, ClaimRequest
+from hibiscusstep.claims.client import Claimer, ClaimRequest
 from hibiscusstep.claims.index import ClaimResult
 from hibiscusstep.mailbox import Question, Tick
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import Member, View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import ClaimReply, Received
 from hibiscusstep.peerlink import LinkLost
 
--- a/tests/test_desk.py
+++ b/tests/test_dispatch_client.py
@@ -1,13 +1,13 @@
-"""hibiscusstep.desk: which dispatcher gets a request, and the messages to it."""
+"""hibiscusstep.dispatch_client: which dispatcher gets a request; messages to it."""
 
 import asyncio
 
 from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.desk import Desk
-from hibiscusstep.grants import GrantRequest
+from hibiscusstep.dispatch_client import Desk
+from hibiscusstep.grant_messages import GrantRequest
 from hibiscusstep.mailbox import Question, Tick
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import Member, View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import (
     PoolAsk,
     PoolGrant,
--- a/tests/test_dispatching.py
+++ b/tests/test_dispatcher_host.py
@@ -1,14 +1,14 @@
-"""hibiscusstep.dispatching: hosted dispatchers, views and keepalives."""
+"""hibiscusstep.dispatcher_host: hosted dispatchers, views and keepalives."""
 
 import asyncio
 
 import pytest
 
 from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.dispatching import KEEPALIVES_PER_S, Dispatching
+from hibiscusstep.dispatcher_host import KEEPALIVES_PER_S, Dispatching
 from hibiscusstep.mailbox import Tick
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import Member, View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import (
     NotDispatcher,
     PoolAsk,
--- a/tests/test_grouped.py
+++ b/tests/test_hierarchical.py
@@ -13,7 +13,7 @@
 from hibiscusstep.forwarding.bounds import InstanceSettings
 from hibiscusstep.forwarding.instance import ForwardingInstance
 from hibiscusstep.mailbox import Tick
-from hibiscusstep.membership.grouped import STARTUP_S, GroupedMembership
+from hibiscusstep.membership.hierarchical import STARTUP_S, GroupedMembership
 from hibiscusstep.peer import Beat, Heartbeat, Received
 from hibiscusstep.peerlink import LinkLost
 from hibiscusstep.platform.surroundings import load_surroundings
--- a/tests/test_logstream.py
+++ b/tests/test_logstream.py
@@ -1,4 +1,4 @@
-"""Tests of hibiscusstep.logstream, and of hibiscusstep.story with decision lines."""
+"""Tests of hibiscusstep.logstream, and of hibiscusstep.timeline with decision lines."""
 
 import logging
 import os
--- a/tests/test_mechanisms_off.py
+++ b/tests/test_mechanisms_off.py
@@ -12,10 +12,10 @@
 import pytest
 from cluster import Cluster, configuration, until
 
-from hibiscusstep.caller import CallerBorder
+from hibiscusstep.caller_server import CallerBorder
 from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.configuration.keeper import ConfigurationKeeper, _Seen
 from hibiscusstep.configuration.stored import Stored
+from hibiscusstep.configuration.updater import ConfigurationKeeper, _Seen
 from hibiscusstep.events import EventKind
 from hibiscusstep.load.drive import Result, State, _judge
 from hibiscusstep.load.mix import Arrival, RequestClass
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -11,8 +11,8 @@
 from hibiscusstep.forwarding.model import DiscoveredTarget
 from hibiscusstep.forwarding.quarantine import Quarantine
 from hibiscusstep.mailbox import Tick
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import Member, View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import Received, SuspectState, SuspectStates
 
 REQUEST = 7
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -8,8 +8,8 @@
 from hibiscusstep.forwarding.quota_claim import QuotaClaim
 from hibiscusstep.forwarding.window import Window
 from hibiscusstep.mailbox import Tick
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import Member, View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import Received
 
 BOUNDS = Bounds(quota_window=8.0, quota_overage=0.1, quota_slack=50.0)
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -7,7 +7,7 @@
 
 from hibiscusstep.forwarding.bounds import InstanceSettings
 from hibiscusstep.mailbox import Tick
-from hibiscusstep.membership.grouped import GroupedMembership
+from hibiscusstep.membership.hierarchical import GroupedMembership
 from hibiscusstep.membership.relays import ParentSelector, choose_relays
 from hibiscusstep.peer import Heartbeat, Received
 from hibiscusstep.store import InstanceRecord
--- a/tests/test_run_watch.py
+++ b/tests/test_run_watch.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hibiscusstep.desk import STALE_GRANT_S
+from hibiscusstep.dispatch_client import STALE_GRANT_S
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
 from hibiscusstep.routing.run_watch import ANSWER_S, ASK_AGAIN_S, RunWatch
--- a/tests/test_recent_most.py
+++ b/tests/test_sliding_maximum.py
@@ -1,9 +1,9 @@
-"""hibiscusstep.membership.recent_most: maximum over a sliding time window."""
+"""hibiscusstep.membership.sliding_maximum: maximum over a sliding time window."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hibiscusstep.membership.recent_most import SlidingMaximum
+from hibiscusstep.membership.sliding_maximum import SlidingMaximum
 
 WINDOW_S = 16.0
 
