--- a/hibiscusstep/attempt.py
+++ b/hibiscusstep/attempt.py
@@ -6,10 +6,10 @@
 from hibiscusstep.answer_sink import AnswerSink
 from hibiscusstep.configuration.models import Configuration
 from hibiscusstep.continuation import Continuation
-from hibiscusstep.dispatch_client import Desk
+from hibiscusstep.dispatch_client import DispatchClient
 from hibiscusstep.errors import TargetError
 from hibiscusstep.events import EventKind
-from hibiscusstep.grant_messages import Ended, Granted, Started
+from hibiscusstep.grant_messages import FirstTokenReceived, Granted, RequestEnded
 from hibiscusstep.progress import Progress
 from hibiscusstep.routing.messages import Outcome as TargetOutcome
 from hibiscusstep.target import Answer, Order, get_target_by_kind
@@ -51,8 +51,8 @@
         Progress of the request.
     configuration : Configuration
         The configuration in force when the request was admitted.
-    desk : Desk
-        Receives `Started` and `Ended`.
+    dispatch_client : DispatchClient
+        Receives `FirstTokenReceived` and `RequestEnded`.
     sessions : TargetSessions
         Connections to targets.
     """
@@ -65,7 +65,7 @@
         sink: AnswerSink,
         progress: Progress,
         configuration: Configuration,
-        desk: Desk,
+        dispatch_client: DispatchClient,
         sessions,
     ) -> None:
         self._name = name
@@ -74,7 +74,7 @@
         self._sink = sink
         self._progress = progress
         self._configuration = configuration
-        self._desk = desk
+        self._dispatch_client = dispatch_client
         self._sessions = sessions
         self._dispatched_at = 0.0
         self._first_token_at: float | None = None
@@ -109,8 +109,8 @@
             return
         self._finished = True
         now = asyncio.get_running_loop().time()
-        self._desk.tell(
-            Ended(
+        self._dispatch_client.tell(
+            RequestEnded(
                 self._admitted.route.pool,
                 self._granted.ask,
                 outcome,
@@ -247,7 +247,9 @@
         if not self._admitted.stream:
             return
         seconds = self._first_token_at - self._dispatched_at
-        self._desk.tell(Started(self._admitted.route.pool, self._granted.ask, seconds))
+        self._dispatch_client.tell(
+            FirstTokenReceived(self._admitted.route.pool, self._granted.ask, seconds)
+        )
 
     def _record_event(self, kind: EventKind, **fields) -> None:
         self._progress.record(
--- a/hibiscusstep/delivery.py
+++ b/hibiscusstep/delivery.py
@@ -9,7 +9,7 @@
 from hibiscusstep.answer_sink import AnswerSink
 from hibiscusstep.attempt import Attempt, RetryElsewhere
 from hibiscusstep.configuration.models import Configuration
-from hibiscusstep.dispatch_client import Desk
+from hibiscusstep.dispatch_client import DispatchClient
 from hibiscusstep.events import EventKind, NullRecorder
 from hibiscusstep.explain import Explainer
 from hibiscusstep.grant_messages import Granted, GrantRequest, Refused
@@ -42,7 +42,7 @@
     ----------
     name : str
         The instance's name.
-    desk : Desk
+    desk : DispatchClient
         Requests grants.
     keys : KeyGuard
         Claims keys and fetches earlier answers.
@@ -57,7 +57,7 @@
     """
 
     name: str
-    desk: Desk
+    desk: DispatchClient
     keys: KeyGuard
     sessions: object
     recorder: NullRecorder
--- a/hibiscusstep/dispatch_client.py
+++ b/hibiscusstep/dispatch_client.py
@@ -5,7 +5,13 @@
 from dataclasses import dataclass, field, replace
 
 from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.grant_messages import Ended, Granted, GrantRequest, Refused, Started
+from hibiscusstep.grant_messages import (
+    FirstTokenReceived,
+    Granted,
+    GrantRequest,
+    Refused,
+    RequestEnded,
+)
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Question, Tick, Worker
 from hibiscusstep.membership.mesh import ViewChanged
@@ -29,7 +35,7 @@
 from hibiscusstep.peerlink import LinkLost, Send
 from hibiscusstep.routing.messages import Reason
 
-__all__ = ["Desk"]
+__all__ = ["DispatchClient"]
 
 TICK_S = 0.2
 MIN_STANDBY_S = 0.5
@@ -79,7 +85,7 @@
     told_held: bool = False
 
 
-class Desk(Worker):
+class DispatchClient(Worker):
     """Requests grants from the dispatcher of each pool, again when it changes.
 
     Parameters
@@ -123,9 +129,9 @@
         match message:
             case Question(body=GrantRequest()):
                 self._request_grant(message)
-            case Started(pool=pool, ask=ask, seconds=seconds):
+            case FirstTokenReceived(pool=pool, ask=ask, seconds=seconds):
                 self._send(pool, PoolFirstToken(pool, ask, seconds))
-            case Ended():
+            case RequestEnded():
                 self._send_finished(message)
             case Received(sender=sender, message=PoolGrant() as grant):
                 self._note_sign_of_life(grant.pool, sender)
@@ -200,7 +206,7 @@
             ends_in=tracked.wanted.ends - now if tracked.wanted.ends else 0.0,
         )
 
-    def _send_finished(self, ended: Ended) -> None:
+    def _send_finished(self, ended: RequestEnded) -> None:
         if self._pool_state(ended.pool).running.pop(ended.ask, None):
             self._send(
                 ended.pool,
--- a/hibiscusstep/dispatcher_host.py
+++ b/hibiscusstep/dispatcher_host.py
@@ -47,7 +47,7 @@
 if TYPE_CHECKING:
     from hibiscusstep.configuration.models import Configuration
 
-__all__ = ["Dispatching", "TargetLoad"]
+__all__ = ["DispatcherHost", "TargetLoad"]
 
 _LOG = logging.getLogger(__name__)
 IDLE_TICK_S = 0.5
@@ -85,7 +85,7 @@
     report: m.LoadReport
 
 
-class Dispatching(Worker):
+class DispatcherHost(Worker):
     """Passes messages to pure dispatchers and executes their decisions.
 
     Parameters
@@ -95,18 +95,18 @@
     links : Worker
         Sends messages to peers.
     deliver_local : callable of Received
-        Delivers messages to this instance's desk.
+        Delivers messages to this instance's dispatch client.
     sessions : TargetSessions
         Used to read the targets' load reports.
     tier_guard : bool
         Whether tiers are guarded; off only to show what the guard prevents.
-    kind : type
+    dispatcher_class : type
         Creates the dispatcher of a pool.
-    reads_reports : bool
+    polls_load : bool
         Whether to read the targets' load reports.
-    serves_itself : bool
+    has_standby : bool
         Whether to dispatch this instance's own requests of any pool on demand.
-    kept : callable of PoolLearnt or None
+    keep_estimates : callable of PoolLearnt or None
         Stores the estimates of the dispatchers here, so that they survive restarts.
     on_rollout : callable of RolloutNews or None
         Called with the progress of rollouts of a pool's version.
@@ -121,18 +121,18 @@
         sessions,
         *,
         tier_guard: bool = True,
-        kind: type,
-        reads_reports: bool = True,
-        serves_itself: bool = False,
-        kept: Callable[[PoolLearnt], None] | None = None,
+        dispatcher_class: type,
+        polls_load: bool = True,
+        has_standby: bool = False,
+        keep_estimates: Callable[[PoolLearnt], None] | None = None,
         on_rollout: Callable[[RolloutNews], None] | None = None,
     ) -> None:
         super().__init__("dispatching", tick_interval=TICK_S)
-        self._make_dispatcher = kind
-        self._reads_reports = reads_reports
-        self._serves_itself = serves_itself
+        self._make_dispatcher = dispatcher_class
+        self._polls_load = polls_load
+        self._has_standby = has_standby
         self._standby_hosted: dict[str, HostedDispatcher] = {}
-        self._keep_estimates = kept
+        self._keep_estimates = keep_estimates
         self._on_rollout = on_rollout
         self._estimates: dict[str, m.Learnt] = {}
         self._own_name = name
@@ -163,7 +163,7 @@
             hosted.poller.cancel()
 
     async def handle(self, message) -> None:
-        """Handle a message from a desk, a load report, a view or a configuration."""
+        """Handle a dispatch client's message, a load report, a view or a configuration."""
         match message:
             case Received(sender=sender, message=StatusAsk(number=number, pool=pool)):
                 reply = StatusReply(number, orjson.dumps(self.status(pool)).decode())
@@ -191,14 +191,14 @@
                 self._handle_tick()
 
     @property
-    def overdue(self) -> dict[str, int]:
+    def overdue_slots(self) -> dict[str, int]:
         """Slots held beyond the expected end of their requests, by pool."""
         return {
             pool: hosted.dispatcher.overdue for pool, hosted in self._hosted.items()
         }
 
     @property
-    def rollouts(self) -> dict[str, dict]:
+    def rollout_summaries(self) -> dict[str, dict]:
         """Summaries of the rollouts that run here, by pool."""
         return {
             pool: {"version": rollout.planned.version, **rollout.summary}
@@ -222,7 +222,7 @@
     def _handle_tick(self) -> None:
         now = asyncio.get_running_loop().time()
         for hosted in (*self._hosted.values(), *self._standby_hosted.values()):
-            may_decide = self._serves_itself and now > hosted.since + RECOVERY_TIMEOUT_S
+            may_decide = self._has_standby and now > hosted.since + RECOVERY_TIMEOUT_S
             if may_decide and not hosted.dispatcher.recovered:
                 self._recover(hosted)
             self._drop_silent_instances(hosted, now)
@@ -323,7 +323,7 @@
 
     def _standby_dispatcher(self, pool: str) -> HostedDispatcher | None:
         """Return the dispatcher for own requests only, created on demand."""
-        if not self._serves_itself or self._configuration is None:
+        if not self._has_standby or self._configuration is None:
             return None
         if pool not in self._standby_hosted:
             hosted = HostedDispatcher(
@@ -355,7 +355,7 @@
                 hosted.addresses[info.instance] = sender
                 hosted.heard[info.instance] = now
                 self._feed(hosted, m.Ask(to_work(info, now)))
-                if self._serves_itself and hosted.dispatcher.is_waiting(info.ask):
+                if self._has_standby and hosted.dispatcher.is_waiting(info.ask):
                     self._send(sender, PoolQueued(pool, hosted.sign_interval))
             case PoolWithdraw(ask=ask):
                 self._feed(hosted, m.Withdraw(ask))
@@ -452,7 +452,7 @@
             hosted = HostedDispatcher(
                 dispatcher, since=asyncio.get_running_loop().time()
             )
-            if self._reads_reports:
+            if self._polls_load:
                 hosted.poller = asyncio.create_task(self._poll_load_reports(pool))
             self._hosted[pool] = hosted
             if pool in self._estimates:
--- a/hibiscusstep/forwarding/incoming.py
+++ b/hibiscusstep/forwarding/incoming.py
@@ -6,8 +6,8 @@
 import xxhash
 from aiohttp import web
 
-from hibiscusstep.dispatch_client import Desk
-from hibiscusstep.dispatcher_host import Dispatching
+from hibiscusstep.dispatch_client import DispatchClient
+from hibiscusstep.dispatcher_host import DispatcherHost
 from hibiscusstep.forwarding.connections import ConnectionPool
 from hibiscusstep.forwarding.dialect import Dialect, RequestHead
 from hibiscusstep.forwarding.fingerprint import fingerprint
@@ -111,9 +111,9 @@
         Where it runs.
     dialect : Dialect
         Reads and writes header fields.
-    desk : Desk
+    desk : DispatchClient
         Gets grants.
-    dispatching : Dispatching
+    dispatching : DispatcherHost
         Is told the load that targets report.
     connections : ConnectionPool
         To targets.
@@ -134,8 +134,8 @@
     instance: str
     data_centre: str
     dialect: Dialect
-    desk: Desk
-    dispatching: Dispatching
+    desk: DispatchClient
+    dispatching: DispatcherHost
     connections: ConnectionPool
     retries: WindowedRetryBudget
     targets: dict[str, DiscoveredTarget]
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -12,8 +12,8 @@
 
 from hibiscusstep.clock import SuspensionWatch
 from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.dispatch_client import Desk
-from hibiscusstep.dispatcher_host import Dispatching
+from hibiscusstep.dispatch_client import DispatchClient
+from hibiscusstep.dispatcher_host import DispatcherHost
 from hibiscusstep.errors import ConfigurationError
 from hibiscusstep.forwarding.beliefs import BeliefKeeper
 from hibiscusstep.forwarding.border import ForwardingBorder
@@ -288,24 +288,26 @@
             lambda: self._catalog.revision if self._targets_known else 0,
         )
         self._keeper = BeliefKeeper(
-            self._around.beliefs, lambda news: self._dispatching.tell(news)
+            self._around.beliefs, lambda news: self._dispatcher_host.tell(news)
         )
         self._rollouts = RolloutKeeper(
             name, address, self._links, self._around.rollouts, self._publish_plan
         )
-        self._dispatching = Dispatching(
+        self._dispatcher_host = DispatcherHost(
             name,
             address,
             self._links,
             self._route,
             None,
-            kind=partial(SlotDispatcher, switches=settings.switches),
-            reads_reports=False,
-            serves_itself=True,
-            kept=self._keeper.tell if settings.switches.kept_beliefs else None,
+            dispatcher_class=partial(SlotDispatcher, switches=settings.switches),
+            polls_load=False,
+            has_standby=True,
+            keep_estimates=self._keeper.tell
+            if settings.switches.kept_beliefs
+            else None,
             on_rollout=self._rollouts.tell,
         )
-        self._desk = Desk(
+        self._dispatch_client = DispatchClient(
             name, incarnation, address, self._links, self._route, STANDBY_AFTER_S
         )
         self._kept_use = KeptUseWorker(
@@ -324,8 +326,8 @@
             name,
             settings.data_centre,
             self._around.dialect,
-            self._desk,
-            self._dispatching,
+            self._dispatch_client,
+            self._dispatcher_host,
             self._connections,
             self._retries,
             self._targets,
@@ -339,8 +341,8 @@
             self._links,
             self._membership,
             self._catalog,
-            self._dispatching,
-            self._desk,
+            self._dispatcher_host,
+            self._dispatch_client,
             self._quotas,
             self._kept_use,
             self._quarantine,
@@ -352,7 +354,7 @@
     def _make_routes(self) -> dict[type, Worker]:
         table = {
             self._membership: (Heartbeat, Beat, Relays),
-            self._dispatching: (
+            self._dispatcher_host: (
                 PoolAsk,
                 PoolWithdraw,
                 PoolFirstToken,
@@ -361,7 +363,7 @@
                 PoolLearnt,
                 PoolRegister,
             ),
-            self._desk: (
+            self._dispatch_client: (
                 PoolGrant,
                 PoolInquire,
                 PoolQueued,
@@ -378,7 +380,7 @@
     def _route(self, message: Received | LinkLost) -> None:
         """Bring a message from a peer, or between two local tasks, to its task."""
         if isinstance(message, LinkLost):
-            self._desk.tell(message)
+            self._dispatch_client.tell(message)
             self._membership.tell(message)
             return
         match message.message:
@@ -397,8 +399,8 @@
         self._view = changed.view
         self._retries.instances = changed.view.likely_size
         for worker in (
-            self._dispatching,
-            self._desk,
+            self._dispatcher_host,
+            self._dispatch_client,
             self._quotas,
             self._quarantine,
             self._rollouts,
@@ -449,8 +451,8 @@
             return
         plan = self._planner.make(self._table, self._targets, self._versions_of)
         in_force = InForce(self._table.version, b"", plan)
-        self._dispatching.tell(in_force)
-        self._desk.tell(in_force)
+        self._dispatcher_host.tell(in_force)
+        self._dispatch_client.tell(in_force)
         self._membership.tell(OwnState(version=self._table.version))
 
     def _versions_of(self, pool: str, seen: set[str]) -> PlannedVersions:
@@ -519,7 +521,9 @@
         app = web.Application()
         app.router.add_get("/metrics", self._render_metrics)
         add_quarantine_routes(app, self._quarantine)
-        add_rollout_routes(app, self._rollouts, lambda: self._dispatching.rollouts)
+        add_rollout_routes(
+            app, self._rollouts, lambda: self._dispatcher_host.rollout_summaries
+        )
         while True:
             try:
                 await serve(app, self._settings.operator_address)
@@ -543,9 +547,9 @@
         metrics.gauge("log_lines_dropped", dropped_lines())
         metrics.gauge("requests_suspected", self._quarantine.suspected)
         metrics.gauge("requests_quarantined", self._quarantine.quarantined)
-        for pool, count in self._dispatching.overdue.items():
+        for pool, count in self._dispatcher_host.overdue_slots.items():
             metrics.gauge("slots_overdue", count, pool=pool)
-        for pool, state in self._dispatching.rollouts.items():
+        for pool, state in self._dispatcher_host.rollout_summaries.items():
             for name in _ROLLOUT_GAUGES:
                 labels = {"pool": pool, "version": state["version"]}
                 metrics.gauge(f"rollout_{name}", state[name], **labels)
--- a/hibiscusstep/forwarding/placement.py
+++ b/hibiscusstep/forwarding/placement.py
@@ -8,7 +8,13 @@
 from hibiscusstep.forwarding.pace import Pace
 from hibiscusstep.forwarding.quota_claim import QUOTA_RETRY_S
 from hibiscusstep.forwarding.standing import Standing
-from hibiscusstep.grant_messages import Ended, Granted, GrantRequest, Refused, Started
+from hibiscusstep.grant_messages import (
+    FirstTokenReceived,
+    Granted,
+    GrantRequest,
+    Refused,
+    RequestEnded,
+)
 from hibiscusstep.mailbox import MailboxFull
 from hibiscusstep.peer import WorkInfo
 from hibiscusstep.routing import messages as m
@@ -211,7 +217,9 @@
         """Tell the dispatcher that the first event has come."""
         if self._grant is not None:
             seconds = self._now() - self.granted_at
-            self._means.desk.tell(Started(self._in.pool, self._grant.ask, seconds))
+            self._means.desk.tell(
+                FirstTokenReceived(self._in.pool, self._grant.ask, seconds)
+            )
 
     def end(
         self, outcome: m.Outcome, pace: Pace | None = None, first: bool = False
@@ -229,7 +237,7 @@
         """
         if self._grant is None:
             return
-        ended = Ended(
+        ended = RequestEnded(
             self._in.pool,
             self._grant.ask,
             outcome,
--- a/hibiscusstep/grant_messages.py
+++ b/hibiscusstep/grant_messages.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.grant_messages: messages between an instance's requests and the dispatch client."""
+"""hibiscusstep.grant_messages: messages about the grants of requests."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 from hibiscusstep.peer import WorkInfo
 from hibiscusstep.routing.messages import Outcome, Reason
 
-__all__ = ["Ended", "Granted", "GrantRequest", "Refused", "Started"]
+__all__ = ["RequestEnded", "Granted", "GrantRequest", "Refused", "FirstTokenReceived"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,7 +18,7 @@
     pool : str
         The pool.
     work : WorkInfo
-        The request's description; the desk sets `ask` and the times.
+        The request's description; the dispatch client sets `ask` and the times.
     deadline : float
         Latest time of the first byte, in seconds on the loop's clock.
     never_shed : bool
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Started:
+class FirstTokenReceived:
     """The first token of a granted request came `seconds` after its dispatch."""
 
     pool: str
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class RequestEnded:
     """A granted request ended; fields as in `routing.messages.Finished`."""
 
     pool: str
--- a/hibiscusstep/instance.py
+++ b/hibiscusstep/instance.py
@@ -15,8 +15,8 @@
 from hibiscusstep.configuration.settings import Settings
 from hibiscusstep.configuration.updater import ConfigurationKeeper
 from hibiscusstep.delivery import DeliveryServices
-from hibiscusstep.dispatch_client import Desk
-from hibiscusstep.dispatcher_host import Dispatching
+from hibiscusstep.dispatch_client import DispatchClient
+from hibiscusstep.dispatcher_host import DispatcherHost
 from hibiscusstep.events import EventKind, NullRecorder, Recorder
 from hibiscusstep.explain import Explainer
 from hibiscusstep.idempotency import KeyGuard
@@ -178,16 +178,18 @@
         self._keeper = ConfigurationKeeper(
             name, settings.watchers, self._platform, self._links, self._on_configuration
         )
-        self._dispatching = Dispatching(
+        self._dispatcher_host = DispatcherHost(
             name,
             address,
             self._links,
             self._deliver,
             self._sessions,
             tier_guard=settings.tier_guard_enabled,
-            kind=Dispatcher,
+            dispatcher_class=Dispatcher,
+        )
+        self._dispatch_client = DispatchClient(
+            name, self._incarnation, address, self._links, self._deliver
         )
-        self._desk = Desk(name, self._incarnation, address, self._links, self._deliver)
         self._claim_writer = ClaimWriter(
             name, address, self._platform, self._links, self._deliver
         )
@@ -201,8 +203,8 @@
             self._links,
             self._membership,
             self._keeper,
-            self._dispatching,
-            self._desk,
+            self._dispatcher_host,
+            self._dispatch_client,
             self._claim_writer,
             self._claimer,
             self._answers,
@@ -219,7 +221,7 @@
         )
         services = DeliveryServices(
             self._settings.name,
-            self._desk,
+            self._dispatch_client,
             keys,
             self._sessions,
             self._recorder,
@@ -243,7 +245,7 @@
         types_by_worker = {
             self._membership: (Heartbeat, Beat),
             self._keeper: (ConfigurationAsk, ConfigurationReply),
-            self._dispatching: (
+            self._dispatcher_host: (
                 PoolAsk,
                 PoolWithdraw,
                 PoolFirstToken,
@@ -251,7 +253,7 @@
                 PoolRegister,
                 StatusAsk,
             ),
-            self._desk: (PoolGrant, PoolRefuse, PoolStop, NotDispatcher),
+            self._dispatch_client: (PoolGrant, PoolRefuse, PoolStop, NotDispatcher),
             self._claim_writer: (ClaimAsk, ClaimRelease),
             self._claimer: (ClaimReply,),
             self._answers: (AnswerAsk, AnswerReply),
@@ -265,7 +267,7 @@
     def _deliver(self, message: Received | LinkLost) -> None:
         """Deliver a message from a peer or a local task to its receiver."""
         if isinstance(message, LinkLost):
-            for worker in (self._desk, self._membership, self._claimer):
+            for worker in (self._dispatch_client, self._membership, self._claimer):
                 worker.tell(message)
         elif isinstance(message.message, StatusReply):
             future = self._pending_status.pop(message.message.number, None)
@@ -278,8 +280,8 @@
         self._view = changed.view
         for worker in (
             self._keeper,
-            self._dispatching,
-            self._desk,
+            self._dispatcher_host,
+            self._dispatch_client,
             self._claim_writer,
             self._claimer,
             self._answers,
@@ -293,8 +295,8 @@
         )
         self._border.take(in_force)
         for worker in (
-            self._dispatching,
-            self._desk,
+            self._dispatcher_host,
+            self._dispatch_client,
             self._claim_writer,
             self._claimer,
         ):
@@ -360,7 +362,7 @@
         if name is None:
             return {}
         if name == self._settings.name:
-            return await self._dispatching.ask(StatusAsk("", pool))
+            return await self._dispatcher_host.ask(StatusAsk("", pool))
         number = secrets.token_hex(8)
         future = asyncio.get_running_loop().create_future()
         self._pending_status[number] = future
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -308,7 +308,7 @@
         live = self._live()
         pools = live[0].in_force.configuration.pools
         return all(
-            any(e._dispatching.status(pool).get("recovered") for e in live)
+            any(e._dispatcher_host.status(pool).get("recovered") for e in live)
             for pool in pools
         )
 
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -121,7 +121,7 @@
             await until(
                 lambda: all(
                     cluster.entries[e.view.dispatcher("service")]
-                    ._dispatching.status("service")
+                    ._dispatcher_host.status("service")
                     .get("recovered")
                     for e in cluster._live()
                 )
--- a/tests/test_dispatch_client.py
+++ b/tests/test_dispatch_client.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.dispatch_client import Desk
+from hibiscusstep.dispatch_client import DispatchClient
 from hibiscusstep.grant_messages import GrantRequest
 from hibiscusstep.mailbox import Question, Tick
 from hibiscusstep.membership.mesh import ViewChanged
@@ -49,20 +49,22 @@
 
 
 class _Fixture:
-    """A desk, with its messages to its own instance and to others recorded."""
+    """A dispatch client, with its messages to itself and to others recorded."""
 
     def __init__(self):
         self.links = _Links()
         self.local = []
-        self.desk = Desk("n0", "n0-1", "n0:1", self.links, self.local.append, 0.12)
+        self.client = DispatchClient(
+            "n0", "n0-1", "n0:1", self.links, self.local.append, 0.12
+        )
 
     async def start(self, **ready):
-        await self.desk.handle(_view(**ready))
-        await self.desk.handle(InForce(1, b"", Plan({"p": PlannedPool(True)})))
+        await self.client.handle(_view(**ready))
+        await self.client.handle(InForce(1, b"", Plan({"p": PlannedPool(True)})))
 
     async def ask(self):
         question = Question(_grant_request())
-        await self.desk.handle(question)
+        await self.client.handle(question)
         return question
 
     def sent_to_itself(self, kind):
@@ -82,14 +84,16 @@
         fixture = _Fixture()
         await fixture.start(n0=False, n1=False)
         await fixture.ask()
-        await fixture.desk.handle(_view(n0=False, n1=True))
+        await fixture.client.handle(_view(n0=False, n1=True))
         ((address, message),) = fixture.links.sent
         assert address == "n1:1" and isinstance(message, PoolRegister)
         assert [info.request for info in message.waiting] == ["r1"]
 
-    async def test_a_desk_without_standby_waits_for_a_dispatcher(self):
+    async def test_a_client_without_standby_waits_for_a_dispatcher(self):
         fixture = _Fixture()
-        fixture.desk = Desk("n0", "n0-1", "n0:1", fixture.links, fixture.local.append)
+        fixture.client = DispatchClient(
+            "n0", "n0-1", "n0:1", fixture.links, fixture.local.append
+        )
         await fixture.start(n0=False)
         await fixture.ask()
         assert not fixture.local
@@ -104,9 +108,9 @@
         await fixture.ask()
         (asked,) = fixture.sent_to_itself(PoolAsk)
         grant = PoolGrant("p", asked.work.ask, "t1", 0.0)
-        await fixture.desk.handle(Received("n0:1", grant))
+        await fixture.client.handle(Received("n0:1", grant))
         fixture.local.clear()
-        await fixture.desk.handle(_view(n0=True, n1=False))
+        await fixture.client.handle(_view(n0=True, n1=False))
         (register,) = fixture.sent_to_itself(PoolRegister)
         assert register.targets == ["t1"]
 
@@ -120,15 +124,15 @@
         await fixture.ask()
         (_address, asked), *_ = fixture.links.sent[1:]
         grant = PoolGrant("p", asked.work.ask, "t1", 0.0)
-        await fixture.desk.handle(Received("n1:1", grant))
-        await fixture.desk.handle(Received("n1:1", PoolInquire("p")))
+        await fixture.client.handle(Received("n1:1", grant))
+        await fixture.client.handle(Received("n1:1", PoolInquire("p")))
         held = PoolHeld("p", "n0", [asked.work.ask])
         assert fixture.links.sent[-1] == ("n1:1", held)
 
     async def test_former_dispatcher_gets_a_reply_too(self):
         fixture = _Fixture()
         await fixture.start(n0=False, n1=True)
-        await fixture.desk.handle(Received("n2:1", PoolInquire("p")))
+        await fixture.client.handle(Received("n2:1", PoolInquire("p")))
         assert fixture.links.sent[-1] == ("n2:1", PoolHeld("p", "n0", []))
 
 
@@ -145,7 +149,7 @@
         loop.time = lambda: time_before + seconds
         try:
             grant = PoolGrant("p", asked.work.ask, "t1", 0.0)
-            await fixture.desk.handle(Received("n1:1", grant))
+            await fixture.client.handle(Received("n1:1", grant))
         finally:
             del loop.time
         return question, [message for _address, message in fixture.links.sent[2:]]
@@ -165,16 +169,16 @@
     """A dispatcher with many waiting instances sends rarer keepalives and says so."""
 
     async def _is_standby_after(self, keepalive, seconds):
-        """Return whether the desk is in standby `seconds` after a keepalive."""
+        """Return whether it is in standby `seconds` after a keepalive."""
         fixture = _Fixture()
         await fixture.start(n0=False, n1=True)
         await fixture.ask()
-        await fixture.desk.handle(Received("n1:1", keepalive))
+        await fixture.client.handle(Received("n1:1", keepalive))
         loop = asyncio.get_running_loop()
         time_before = loop.time()
         loop.time = lambda: time_before + seconds
         try:
-            await fixture.desk.handle(Tick())
+            await fixture.client.handle(Tick())
         finally:
             del loop.time
         return bool(fixture.sent_to_itself(PoolRegister))
--- a/tests/test_dispatcher_host.py
+++ b/tests/test_dispatcher_host.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.dispatcher_host import KEEPALIVES_PER_S, Dispatching
+from hibiscusstep.dispatcher_host import KEEPALIVES_PER_S, DispatcherHost
 from hibiscusstep.mailbox import Tick
 from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import Member, View
@@ -53,11 +53,11 @@
 
 
 @pytest.fixture
-async def dispatching():
+async def dispatcher_host():
     links = _Links()
-    worker = Dispatching(
+    worker = DispatcherHost(
         "d", "d:1", links, lambda _message: None, None,
-        kind=SlotDispatcher, reads_reports=False,
+        dispatcher_class=SlotDispatcher, polls_load=False,
     )  # fmt: skip
     await worker.handle(_view(d="d-1", e="e-1"))
     await worker.handle(InForce(1, b"", Plan({POOL: PlannedPool(True)})))
@@ -70,20 +70,20 @@
 class TestInstanceConsideredDead:
     """Its requests were dropped; if it is still live, it does not know."""
 
-    async def test_is_asked_to_register_when_it_returns(self, dispatching):
-        worker, links = dispatching
+    async def test_is_asked_to_register_when_it_returns(self, dispatcher_host):
+        worker, links = dispatcher_host
         await worker.handle(_view(d="d-1"))
         await worker.handle(_view(d="d-1", e="e-1"))
         assert links.sent == [("e:1", NotDispatcher(POOL))]
 
-    async def test_is_not_asked_after_a_restart(self, dispatching):
-        worker, links = dispatching
+    async def test_is_not_asked_after_a_restart(self, dispatcher_host):
+        worker, links = dispatcher_host
         await worker.handle(_view(d="d-1"))
         await worker.handle(_view(d="d-1", e="e-2"))
         assert links.sent == []
 
-    async def test_live_instances_are_not_asked(self, dispatching):
-        worker, links = dispatching
+    async def test_live_instances_are_not_asked(self, dispatcher_host):
+        worker, links = dispatcher_host
         await worker.handle(_view(d="d-1", e="e-1", f="f-1"))
         assert links.sent == []
 
@@ -92,9 +92,9 @@
     """Requests of an instance that lost power keep their slots without an end."""
 
     async def test_their_instance_is_inquired_and_the_gauge_counts_them(
-        self, dispatching
+        self, dispatcher_host
     ):
-        worker, links = dispatching
+        worker, links = dispatcher_host
         targets = {"t": PlannedTarget(1)}
         await worker.handle(
             InForce(2, b"", Plan({POOL: PlannedPool(False, targets=targets)}))
@@ -104,7 +104,7 @@
         work = WorkInfo("a", "r", "e", "c", "0", 0, 0, 1, 9.0, 0.0, False, [], [])
         await worker.handle(Received("e:1", PoolAsk(POOL, work)))
         assert [type(message) for _address, message in links.sent] == [PoolGrant]
-        assert worker.overdue == {POOL: 0}
+        assert worker.overdue_slots == {POOL: 0}
         loop = asyncio.get_running_loop()
         start = loop.time()
         try:
@@ -114,7 +114,7 @@
         finally:
             del loop.time
         assert links.sent[1:] == [("e:1", PoolInquire(POOL))]
-        assert worker.overdue == {POOL: 1}
+        assert worker.overdue_slots == {POOL: 1}
 
 
 class TestKeepalives:
@@ -123,9 +123,9 @@
     async def _keepalives_in_a_second(self, instances):
         """Return the keepalives of the second second, with one request per instance."""
         links = _Links()
-        worker = Dispatching(
+        worker = DispatcherHost(
             "d", "d:1", links, lambda _message: None, None,
-            kind=SlotDispatcher, reads_reports=False, serves_itself=True,
+            dispatcher_class=SlotDispatcher, polls_load=False, has_standby=True,
         )  # fmt: skip
         await worker.handle(_view(d="d-1"))
         plan = Plan({POOL: PlannedPool(False, targets={"t": PlannedTarget(0)})})
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -322,11 +322,13 @@
         await site.until(lambda: all(_planned(i).progress.exposed >= 8 for i in others))
         number = int(site.instances[0].view.dispatcher(POOL)[1:])
         await site.end_instance(number)
-        await site.until(lambda: any(i._dispatching.rollouts for i in site.running))
+        await site.until(
+            lambda: any(i._dispatcher_host.rollout_summaries for i in site.running)
+        )
         (state,) = [
             state
             for instance in site.running
-            for state in instance._dispatching.rollouts.values()
+            for state in instance._dispatcher_host.rollout_summaries.values()
         ]
         assert state["exposed"] >= 8
 
