--- a/examples/slopes.py
+++ b/examples/slopes.py
@@ -24,7 +24,7 @@
 from hibiscusstep.configuration.models import load_configuration
 from hibiscusstep.configuration.settings import Settings
 from hibiscusstep.configuration.stored import CONFIGURATION_KEY, Stored
-from hibiscusstep.instance import Entry
+from hibiscusstep.instance import Instance
 from hibiscusstep.log import decision, set_up_logging
 from hibiscusstep.membership.hierarchical import GroupedMembership
 from hibiscusstep.membership.mesh import Membership, OwnState
@@ -339,7 +339,7 @@
         version = await _put(platform, data, 0)
         ports = free_ports(3 * count)
         entries = [
-            Entry(_settings(n, ports[3 * n : 3 * n + 3], ports[2]), platform)
+            Instance(_settings(n, ports[3 * n : 3 * n + 3], ports[2]), platform)
             for n in range(count)
         ]
         tasks = [asyncio.create_task(entry.run()) for entry in entries]
--- a/hibiscusstep/caller_server.py
+++ b/hibiscusstep/caller_server.py
@@ -11,12 +11,12 @@
 from hibiscusstep.metrics import Metrics
 from hibiscusstep.problem import Outcome, Problem
 
-__all__ = ["CallerBorder"]
+__all__ = ["CallerServer"]
 
 MAX_BODY_BYTES = 64 << 20
 
 
-class CallerBorder:
+class CallerServer:
     """Admits callers' requests and runs a delivery for each.
 
     Parameters
@@ -54,7 +54,7 @@
         """Number of requests whose answer is not complete."""
         return len(self._open_tasks)
 
-    def take(self, in_force: InForce) -> None:
+    def set_configuration(self, in_force: InForce) -> None:
         """Use a configuration for all later requests."""
         self._in_force = in_force
 
--- a/hibiscusstep/cmdline/entry.py
+++ b/hibiscusstep/cmdline/entry.py
@@ -69,11 +69,11 @@
 
 def _load_own(path: Path, _serves: bool):
     from hibiscusstep.configuration.settings import load_settings
-    from hibiscusstep.instance import Entry
+    from hibiscusstep.instance import Instance
 
     settings = load_settings(path)
     _exit_if_stopped()
-    return settings, lambda: Entry(settings)
+    return settings, lambda: Instance(settings)
 
 
 def _load_platform(path: Path, serves: bool):
--- a/hibiscusstep/dispatcher_host.py
+++ b/hibiscusstep/dispatcher_host.py
@@ -163,7 +163,7 @@
             hosted.poller.cancel()
 
     async def handle(self, message) -> None:
-        """Handle a dispatch client's message, a load report, a view or a configuration."""
+        """Handle a message of a request, a load report, a view or a configuration."""
         match message:
             case Received(sender=sender, message=StatusAsk(number=number, pool=pool)):
                 reply = StatusReply(number, orjson.dumps(self.status(pool)).decode())
--- a/hibiscusstep/instance.py
+++ b/hibiscusstep/instance.py
@@ -8,7 +8,7 @@
 import orjson
 from aiohttp import web
 
-from hibiscusstep.caller_server import CallerBorder
+from hibiscusstep.caller_server import CallerServer
 from hibiscusstep.claims.client import Claimer
 from hibiscusstep.claims.writer import ClaimWriter
 from hibiscusstep.configuration.in_force import InForce
@@ -25,7 +25,7 @@
 from hibiscusstep.membership.mesh import Membership, OwnState, ViewChanged
 from hibiscusstep.membership.view import View
 from hibiscusstep.metrics import Metrics
-from hibiscusstep.operator_api import OperatorBorder
+from hibiscusstep.operator_api import OperatorApi
 from hibiscusstep.peer import (
     AnswerAsk,
     AnswerReply,
@@ -56,14 +56,14 @@
 from hibiscusstep.supervisor import Child, Restart, Supervisor
 from hibiscusstep.targets.http import TargetSessions
 
-__all__ = ["Entry"]
+__all__ = ["Instance"]
 
 _LOG = logging.getLogger(__name__)
 READINESS_PAUSE_S = 0.3
 POOL_STATUS_TIMEOUT_S = 1.0
 
 
-class Entry:
+class Instance:
     """One instance of the scheduler.
 
     Parameters
@@ -139,22 +139,22 @@
         spent : float
             Seconds since the instance was asked to stop.
         """
-        _LOG.info("draining", extra={"open": self._border.open_requests})
+        _LOG.info("draining", extra={"open": self._caller_server.open_requests})
         self._recorder.record(EventKind.SHUTDOWN_ASKED)
         self._draining = True
         self._membership.tell(OwnState(leaving=True))
         await asyncio.sleep(READINESS_PAUSE_S)
-        self._border.drain()
+        self._caller_server.drain()
         try:
             async with asyncio.timeout(self._settings.drain_timeout - elapsed):
-                await self._border.wait_idle()
+                await self._caller_server.wait_idle()
         except TimeoutError:
             self.cut("drain_timeout passed")
         self._recorder.record(EventKind.SHUTDOWN_DONE)
 
     def cut(self, reason: str) -> None:
         """Cancel all open requests and log their ids."""
-        names = self._border.cut()
+        names = self._caller_server.cut()
         _LOG.warning("cut", extra={"why": reason, "requests": names})
 
     def reload(self) -> None:
@@ -175,7 +175,7 @@
         self._membership = Membership(
             settings, self._incarnation, self._links, self._platform, self._on_view
         )
-        self._keeper = ConfigurationKeeper(
+        self._configuration_updater = ConfigurationKeeper(
             name, settings.watchers, self._platform, self._links, self._on_configuration
         )
         self._dispatcher_host = DispatcherHost(
@@ -202,7 +202,7 @@
         self._workers: list[Worker] = [
             self._links,
             self._membership,
-            self._keeper,
+            self._configuration_updater,
             self._dispatcher_host,
             self._dispatch_client,
             self._claim_writer,
@@ -229,10 +229,10 @@
             RetryBudget(self._settings.retry_share),
         )
         settings = self._settings
-        self._border = CallerBorder(
+        self._caller_server = CallerServer(
             services, self._metrics, settings.body_timeout, settings.max_open_requests
         )
-        self._operators = OperatorBorder(
+        self._operators = OperatorApi(
             self._settings.operator_key,
             lambda: self.ready,
             self._status,
@@ -244,7 +244,7 @@
     def _make_receivers(self) -> dict[type, Worker]:
         types_by_worker = {
             self._membership: (Heartbeat, Beat),
-            self._keeper: (ConfigurationAsk, ConfigurationReply),
+            self._configuration_updater: (ConfigurationAsk, ConfigurationReply),
             self._dispatcher_host: (
                 PoolAsk,
                 PoolWithdraw,
@@ -279,7 +279,7 @@
     def _on_view(self, changed: ViewChanged) -> None:
         self._view = changed.view
         for worker in (
-            self._keeper,
+            self._configuration_updater,
             self._dispatcher_host,
             self._dispatch_client,
             self._claim_writer,
@@ -293,7 +293,7 @@
         self._recorder.record(
             EventKind.CONFIGURATION_IN_FORCE, version=in_force.version
         )
-        self._border.take(in_force)
+        self._caller_server.set_configuration(in_force)
         for worker in (
             self._dispatcher_host,
             self._dispatch_client,
@@ -304,7 +304,7 @@
         self._membership.tell(OwnState(version=in_force.version, ready=True))
 
     async def _serve_callers(self) -> None:
-        await self._serve(self._border.app(), self._settings.caller_address)
+        await self._serve(self._caller_server.app(), self._settings.caller_address)
 
     async def _serve_operators(self) -> None:
         await self._serve(self._operators.app(), self._settings.operator_address)
@@ -325,7 +325,7 @@
 
     def _refresh_gauges(self) -> None:
         metrics = self._metrics
-        metrics.open_requests.set({}, self._border.open_requests)
+        metrics.open_requests.set({}, self._caller_server.open_requests)
         metrics.version.set({}, self._in_force.version)
         metrics.members.set({}, len(self._view.members))
         metrics.restarts.set({}, self._supervisor.restarts)
--- a/hibiscusstep/operator_api.py
+++ b/hibiscusstep/operator_api.py
@@ -10,12 +10,12 @@
 from hibiscusstep.explain import Explainer
 from hibiscusstep.metrics import Metrics
 
-__all__ = ["OperatorBorder"]
+__all__ = ["OperatorApi"]
 
 STATUS_TIMEOUT_S = 2.0
 
 
-class OperatorBorder:
+class OperatorApi:
     """Serves health, readiness, metrics, status and explain.
 
     Health and readiness are for the load balancer and need no authentication; the rest
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -14,7 +14,7 @@
 from hibiscusstep.configuration.settings import Settings
 from hibiscusstep.configuration.stored import CONFIGURATION_KEY, Stored
 from hibiscusstep.events import EventKind, Recorder, read_history
-from hibiscusstep.instance import Entry
+from hibiscusstep.instance import Instance
 from hibiscusstep.standins.batching import EngineSpeed
 from hibiscusstep.standins.engine import make_engine_app
 from hibiscusstep.standins.service import make_service_app
@@ -250,7 +250,7 @@
 
     async def start(self, name):
         """Start an instance, or start it again."""
-        entry = Entry(self.settings(name), self.platform)
+        entry = Instance(self.settings(name), self.platform)
         self.entries[name] = entry
         self.tasks[name] = asyncio.create_task(entry.run())
         self.urls[name] = f"http://{entry._settings.caller_address}"
@@ -260,7 +260,7 @@
         """End an instance as a kill does: at once, nothing said."""
         self.killed.append(name)
         entry, task = self.entries.pop(name), self.tasks.pop(name)
-        entry._border.drain()
+        entry._caller_server.drain()
         entry.cut("killed by the test")
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -187,7 +187,9 @@
         await restore_all(cluster)
         await asyncio.gather(*background_reads)
         await check_recovery(cluster, cell.kind)
-        await until(lambda: not any(e._border.open_requests for e in cluster._live()))
+        await until(
+            lambda: not any(e._caller_server.open_requests for e in cluster._live())
+        )
         cluster.check()
         return reply.outcome
 
--- a/tests/test_configuration_spread.py
+++ b/tests/test_configuration_spread.py
@@ -19,7 +19,8 @@
             version = await cluster.apply(configuration(cluster.targets, deadline=7))
             await until(lambda: versions_in_force(cluster) == {version})
             waiting = sum(
-                entry._keeper._watch is not None and not entry._keeper._watch.done()
+                entry._configuration_updater._watch is not None
+                and not entry._configuration_updater._watch.done()
                 for entry in cluster._live()
             )
             assert waiting == 2
@@ -57,7 +58,7 @@
         async with Cluster(tmp_path) as cluster:
             before = versions_in_force(cluster)
             await cluster.apply({"bad.json": '{"tiers": 7}'})
-            keepers = [entry._keeper for entry in cluster._live()]
+            keepers = [entry._configuration_updater for entry in cluster._live()]
             await until(lambda: sum(bool(k._rejected) for k in keepers) == 2)
             assert versions_in_force(cluster) == before
             assert (await cluster.call("e0", "/read")).outcome == "whole"
@@ -91,7 +92,7 @@
         async with Cluster(tmp_path) as cluster:
             before = versions_in_force(cluster)
             await cluster.apply(configuration(cluster.targets, shards=3))
-            keepers = [entry._keeper for entry in cluster._live()]
+            keepers = [entry._configuration_updater for entry in cluster._live()]
             await until(lambda: sum(bool(k._rejected) for k in keepers) == 2)
             assert versions_in_force(cluster) == before
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -79,7 +79,7 @@
             await until(lambda: cluster.events(EventKind.SERVED))
             entry = cluster.entries["e1"]
             draining = asyncio.create_task(entry.drain())
-            await until(lambda: entry._border._draining)
+            await until(lambda: entry._caller_server._draining)
             assert not entry.ready
             late = await cluster.call("e1")
             assert late.status == 503 and late.outcome == "not run"
--- a/tests/test_mechanisms_off.py
+++ b/tests/test_mechanisms_off.py
@@ -12,7 +12,7 @@
 import pytest
 from cluster import Cluster, configuration, until
 
-from hibiscusstep.caller_server import CallerBorder
+from hibiscusstep.caller_server import CallerServer
 from hibiscusstep.configuration.in_force import InForce
 from hibiscusstep.configuration.stored import Stored
 from hibiscusstep.configuration.updater import ConfigurationKeeper, _Seen
@@ -44,7 +44,7 @@
         async def at_once(_border):
             return None
 
-        monkeypatch.setattr(CallerBorder, "wait_idle", at_once)
+        monkeypatch.setattr(CallerServer, "wait_idle", at_once)
         async with Cluster(tmp_path, duration=2.0) as cluster:
             call = asyncio.create_task(cluster.call("e1", "/read"))
             await until(lambda: cluster.events(EventKind.SERVED))
@@ -65,7 +65,9 @@
                 lambda: all(e.in_force.version == newer for e in cluster._live())
             )
             monkeypatch.setattr(ConfigurationKeeper, "_take", take_any)
-            cluster.entries["e0"]._keeper.tell(_Seen(old.version, old.value))
+            cluster.entries["e0"]._configuration_updater.tell(
+                _Seen(old.version, old.value)
+            )
             await until(lambda: "configuration" in promises(cluster))
 
     async def test_looking_a_key_up_before_the_queue(self, tmp_path):
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -247,7 +247,7 @@
             await self.send_raw(cluster, head, end=True)
             reply = await cluster.call("e0", key="half")
             assert reply.outcome in ("whole", "not run")
-            await until(lambda: not cluster.entries["e0"]._border.open_requests)
+            await until(lambda: not cluster.entries["e0"]._caller_server.open_requests)
             cluster.check()
 
     async def test_customers_do_not_see_each_other(self, tmp_path):
