--- a/hibiscusstep/admission.py
+++ b/hibiscusstep/admission.py
@@ -97,12 +97,12 @@
     prefixes: tuple[int, ...] = ()
 
     @property
-    def keyed(self) -> bool:
+    def needs_claim(self) -> bool:
         """Whether its key must be claimed before it is dispatched."""
         return bool(self.head.key) and not self.route.idempotent
 
     @property
-    def digest(self) -> bytes:
+    def key_digest(self) -> bytes:
         """Digest of customer and key, 16 bytes; independent of the route's name."""
         data = f"{self.customer}\0{self.head.key}".encode()
         return hashlib.blake2b(data, digest_size=16).digest()
--- a/hibiscusstep/attempt.py
+++ b/hibiscusstep/attempt.py
@@ -12,7 +12,7 @@
 from hibiscusstep.grant_messages import FirstTokenReceived, Granted, RequestEnded
 from hibiscusstep.progress import Progress
 from hibiscusstep.routing.messages import Outcome as TargetOutcome
-from hibiscusstep.target import Answer, Order, get_target_by_kind
+from hibiscusstep.target import TargetAnswer, TargetRequest, get_target_by_kind
 
 __all__ = ["Attempt", "RetryElsewhere"]
 
@@ -83,13 +83,13 @@
 
     async def dispatch(self) -> None:
         """Send the request to the target once and relay the answer."""
-        order = self._make_order()
+        target_request = self._make_target_request()
         target = self._make_target()
         self._dispatched_at = asyncio.get_running_loop().time()
         self._dispatched_before = self._progress.dispatched
         self._progress.dispatched = True
         self._record_event(EventKind.DISPATCHED)
-        sent = await target.send(order)
+        sent = await target.send(target_request)
         if sent.is_err():
             self._handle_send_error(sent.unwrap_err())
         answer = sent.unwrap()
@@ -103,7 +103,9 @@
         finally:
             answer.close()
 
-    def finish(self, outcome: TargetOutcome, answer: Answer | None = None) -> None:
+    def finish(
+        self, outcome: TargetOutcome, answer: TargetAnswer | None = None
+    ) -> None:
         """Release the grant; later calls do nothing."""
         if self._finished:
             return
@@ -130,9 +132,9 @@
             else self._dispatched_at - now
         )
 
-    def _make_order(self) -> Order:
+    def _make_target_request(self) -> TargetRequest:
         admitted = self._admitted
-        return Order(
+        return TargetRequest(
             admitted.request,
             self._name,
             admitted.head.method,
@@ -180,7 +182,7 @@
             "target-error", target=error.peer, step=error.step, detail=error.detail
         )
 
-    async def _relay_answer(self, answer: Answer) -> None:
+    async def _relay_answer(self, answer: TargetAnswer) -> None:
         if answer.status >= 500 and self._admitted.route.idempotent:
             peer, step = self._granted.target, "answer"
             detail = f"status {answer.status}"
@@ -196,13 +198,13 @@
             "completed", target=self._granted.target, tokens=answer.tokens
         )
 
-    async def _relay_stream(self, answer: Answer) -> None:
+    async def _relay_stream(self, answer: TargetAnswer) -> None:
         sink = self._sink
         continuation = Continuation(sink.written) if sink.has_started else None
         async for events in answer.chunks():
             self._note_first_token()
             if continuation is not None:
-                events = continuation.rest(events)
+                events = continuation.remove_sent(events)
                 self._check_continuation(continuation)
             if not sink.has_started:
                 await sink.begin(answer.status, answer.content_type)
@@ -211,11 +213,11 @@
         await sink.end()
 
     def _check_continuation(self, continuation: Continuation) -> None:
-        if not continuation.fits:
+        if not continuation.matches:
             detail = "The stream broke off, and a second answer was not the same."
             raise self._progress.failed(detail)
 
-    async def _relay_whole(self, answer: Answer) -> None:
+    async def _relay_whole(self, answer: TargetAnswer) -> None:
         """Send the answer in one piece; stream it if it is over the buffer limit."""
         parts: list[bytes] = []
         size = 0
@@ -233,7 +235,7 @@
             body = b"".join(parts)
             await self._sink.send_whole(answer.status, answer.content_type, body)
 
-    async def _flush(self, answer: Answer, parts: list[bytes]) -> None:
+    async def _flush(self, answer: TargetAnswer, parts: list[bytes]) -> None:
         if not self._sink.has_started:
             await self._sink.begin(answer.status, answer.content_type)
         for part in parts:
--- a/hibiscusstep/caller_server.py
+++ b/hibiscusstep/caller_server.py
@@ -130,7 +130,7 @@
         admitted = admit(
             self._services.name, customer, route_name, head, body, configuration
         )
-        sink = AnswerSink(request, admitted.request, keep=admitted.keyed)
+        sink = AnswerSink(request, admitted.request, keep=admitted.needs_claim)
         return Delivery(admitted, sink, self._services, configuration), sink
 
     async def _read_body(self, request: web.Request) -> bytes:
--- a/hibiscusstep/continuation.py
+++ b/hibiscusstep/continuation.py
@@ -5,13 +5,13 @@
 
 import orjson
 
-__all__ = ["Continuation", "contents"]
+__all__ = ["Continuation", "event_texts"]
 
 EVENT_END = b"\n\n"
 DATA_PREFIX = b"data: "
 
 
-def contents(events: bytes) -> Iterator[str]:
+def event_texts(events: bytes) -> Iterator[str]:
     """Yield the text of each complete event, ``""`` for one without text."""
     for event in events.split(EVENT_END)[:-1]:
         yield _event_text(event)
@@ -31,7 +31,7 @@
     """Removes from a second answer the events that the caller has from the first.
 
     The second answer must start with events of the same texts, so that the caller gets
-    one complete answer. If it does not, `fits` becomes False.
+    one complete answer. If it does not, `matches` becomes False.
 
     Parameters
     ----------
@@ -40,22 +40,22 @@
     """
 
     def __init__(self, sent: bytes) -> None:
-        self._expected = list(contents(sent))
+        self._expected = list(event_texts(sent))
         self._position = 0
-        self.fits = True
+        self.matches = True
 
     @property
     def caught_up(self) -> bool:
         """Whether the second answer has reached the end of the caller's events."""
         return self._position >= len(self._expected)
 
-    def rest(self, events: bytes) -> bytes:
+    def remove_sent(self, events: bytes) -> bytes:
         """Return the part of the events that the caller does not have."""
         if self.caught_up:
             return events
         parts = events.split(EVENT_END)[:-1]
         expected = self._expected[self._position : self._position + len(parts)]
-        self.fits = self.fits and all(
+        self.matches = self.matches and all(
             _event_text(part) == text
             for part, text in zip(parts, expected, strict=False)
         )
--- a/hibiscusstep/delivery.py
+++ b/hibiscusstep/delivery.py
@@ -144,7 +144,7 @@
     def on_caller_disconnected(self) -> None:
         """Continue if the answer is kept for a repeat of the key, else cancel."""
         self._sink.detached = True
-        if not (self._admitted.keyed and self._progress.dispatched):
+        if not (self._admitted.needs_claim and self._progress.dispatched):
             self._cancel_with(_Interrupt.CALLER_DISCONNECTED)
 
     def stop(self) -> None:
@@ -162,7 +162,7 @@
         self._services.retries.first_try()
         try:
             async with asyncio.timeout(admitted.route.answer_timeout) as self._timeout:
-                if admitted.keyed and await self._replay_earlier():
+                if admitted.needs_claim and await self._replay_earlier():
                     return
                 for number in range(1, admitted.route.max_attempts + 1):
                     if await self._try_target(number):
@@ -194,7 +194,7 @@
         granted = await self._request_grant()
         attempt = self._make_attempt(number, granted)
         try:
-            if self._admitted.keyed:
+            if self._admitted.needs_claim:
                 self._claim_started = True
                 earlier = await self._services.keys.claim(self._admitted)
                 if earlier is not None:
--- a/hibiscusstep/idempotency.py
+++ b/hibiscusstep/idempotency.py
@@ -83,7 +83,7 @@
         """
         if not self._enabled:
             return None
-        self._answers.tell(AttemptStarted(admitted.digest, admitted.request))
+        self._answers.tell(AttemptStarted(admitted.key_digest, admitted.request))
         supersedes = ""
         while True:
             verdict = await self._request_claim(admitted, supersedes)
@@ -91,7 +91,7 @@
                 self._recorder.record(
                     EventKind.CLAIMED,
                     request=admitted.request,
-                    key=admitted.digest.hex(),
+                    key=admitted.key_digest.hex(),
                     customer=admitted.customer,
                 )
                 return None
@@ -125,14 +125,18 @@
             answer = kept_answer or KeptAnswer(AnswerState.GONE)
         else:
             answer = KeptAnswer(AnswerState.DEAD)
-            self._claimer.tell(ReleaseRequest(admitted.digest, admitted.request))
+            self._claimer.tell(ReleaseRequest(admitted.key_digest, admitted.request))
         self._answers.tell(AttemptEnded(admitted.request, answer))
 
     async def _request_claim(
         self, admitted, supersedes: str, lookup: bool = False
     ) -> Verdict:
         request = ClaimRequest(
-            admitted.digest, admitted.body_digest, admitted.request, supersedes, lookup
+            admitted.key_digest,
+            admitted.body_digest,
+            admitted.request,
+            supersedes,
+            lookup,
         )
         return await self._claimer.ask(request)
 
--- a/hibiscusstep/load/drive.py
+++ b/hibiscusstep/load/drive.py
@@ -9,7 +9,7 @@
 import aiohttp
 import orjson
 
-from hibiscusstep.continuation import contents
+from hibiscusstep.continuation import event_texts
 from hibiscusstep.load.mix import Arrival
 from hibiscusstep.standins.batching import Job
 
@@ -182,7 +182,7 @@
     job = Job("", arrival.prompt, arrival.output_tokens)
     expected = "".join(job.token(number) for number in range(job.output_tokens))
     if arrival.spec.stream:
-        text = "".join(contents(body))
+        text = "".join(event_texts(body))
         whole = body.endswith(END_MARK)
     else:
         text = orjson.loads(body)["choices"][0]["message"]["content"]
--- a/hibiscusstep/progress.py
+++ b/hibiscusstep/progress.py
@@ -80,7 +80,7 @@
             kind,
             request=admitted.request,
             customer=admitted.customer,
-            key=admitted.digest.hex() if admitted.keyed else "",
+            key=admitted.key_digest.hex() if admitted.needs_claim else "",
             pool=admitted.route.pool,
             tier=admitted.tier,
             rank=admitted.rank,
--- a/hibiscusstep/target.py
+++ b/hibiscusstep/target.py
@@ -9,11 +9,11 @@
 from hibiscusstep.errors import TargetError
 from hibiscusstep.routing.messages import LoadReport
 
-__all__ = ["Answer", "Order", "Target", "get_target_by_kind"]
+__all__ = ["Target", "TargetAnswer", "TargetRequest", "get_target_by_kind"]
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class TargetRequest:
     """A request to a target.
 
     Parameters
@@ -48,7 +48,7 @@
     timeout: float = 600.0
 
 
-class Answer(ABC):
+class TargetAnswer(ABC):
     """The answer of a target, as a stream.
 
     Attributes
@@ -114,7 +114,9 @@
         return self._address
 
     @abstractmethod
-    async def send(self, order: Order) -> Result[Answer, TargetError]:
+    async def send(
+        self, target_request: TargetRequest
+    ) -> Result[TargetAnswer, TargetError]:
         """Send a request once; return when the answer starts."""
 
     @abstractmethod
--- a/hibiscusstep/targets/engine.py
+++ b/hibiscusstep/targets/engine.py
@@ -9,7 +9,7 @@
 from result import Result
 
 from hibiscusstep.errors import TargetError
-from hibiscusstep.target import Answer, Order
+from hibiscusstep.target import TargetAnswer, TargetRequest
 from hibiscusstep.targets.http import HttpTarget
 from hibiscusstep.targets.service import ServiceAnswer
 
@@ -29,11 +29,13 @@
 
     name = "engine"
 
-    async def send(self, order: Order) -> Result[Answer, TargetError]:
-        """Send an order once."""
-        sent = await self.send_once(order)
-        answer_type = StreamedAnswer if order.stream else EngineAnswer
-        return sent.map(lambda response: answer_type(response, self, order))
+    async def send(
+        self, target_request: TargetRequest
+    ) -> Result[TargetAnswer, TargetError]:
+        """Send a request once."""
+        sent = await self.send_once(target_request)
+        answer_type = StreamedAnswer if target_request.stream else EngineAnswer
+        return sent.map(lambda response: answer_type(response, self, target_request))
 
     async def resume(self, attempt: str, after: int) -> aiohttp.ClientResponse:
         """Return the rest of an interrupted stream, after event number `after`."""
@@ -62,9 +64,11 @@
 class EngineAnswer(ServiceAnswer):
     """A completion as one JSON document."""
 
-    def __init__(self, response, target: EngineTarget, order: Order) -> None:
+    def __init__(
+        self, response, target: EngineTarget, target_request: TargetRequest
+    ) -> None:
         super().__init__(response, target)
-        self._attempt = order.attempt
+        self._attempt = target_request.attempt
 
     async def chunks(self):
         """Yield the whole body once it is complete and checked to be JSON."""
@@ -92,8 +96,10 @@
 class StreamedAnswer(EngineAnswer):
     """Unmodified server-sent events; an interrupted stream is resumed on its engine."""
 
-    def __init__(self, response, target: EngineTarget, order: Order) -> None:
-        super().__init__(response, target, order)
+    def __init__(
+        self, response, target: EngineTarget, target_request: TargetRequest
+    ) -> None:
+        super().__init__(response, target, target_request)
         self._partial_event = b""
         self._end_seen = False
 
--- a/hibiscusstep/targets/http.py
+++ b/hibiscusstep/targets/http.py
@@ -5,7 +5,7 @@
 
 from hibiscusstep.errors import TargetError
 from hibiscusstep.routing.messages import LoadReport
-from hibiscusstep.target import Order, Target
+from hibiscusstep.target import Target, TargetRequest
 
 __all__ = ["HttpTarget", "TargetSessions"]
 
@@ -21,11 +21,11 @@
     Attributes
     ----------
     reused : aiohttp.ClientSession
-        Reuses connections; for idempotent orders and load reports.
+        Reuses connections; for idempotent requests and load reports.
     unshared : aiohttp.ClientSession
-        Opens a connection for each order, for orders that are not idempotent: a reused
-        connection may turn out to be closed after the order was sent, and the outcome
-        would be unknown.
+        Opens a connection for each request; for requests that are not idempotent: a
+        reused connection may turn out to be closed after the request was sent, and the
+        outcome would be unknown.
     """
 
     def __init__(self) -> None:
@@ -51,20 +51,24 @@
 
 
 class HttpTarget(Target):
-    """Target that gets each order over HTTP at most once and reports ``GET /load``."""
+    """Target that gets each request over HTTP at most once; reports ``GET /load``."""
 
-    async def send_once(self, order: Order) -> Result:
-        """Send an order and return the response once its head has arrived."""
+    async def send_once(self, target_request: TargetRequest) -> Result:
+        """Send a request and return the response once its head has arrived."""
         timeout = aiohttp.ClientTimeout(
-            total=order.timeout, sock_connect=CONNECT_TIMEOUT_S
+            total=target_request.timeout, sock_connect=CONNECT_TIMEOUT_S
+        )
+        session = (
+            self._sessions.reused
+            if target_request.idempotent
+            else self._sessions.unshared
         )
-        session = self._sessions.reused if order.idempotent else self._sessions.unshared
         try:
             response = await session.request(
-                order.method,
-                f"http://{self._address}{order.path}",
-                data=order.body or None,
-                headers=self._headers(order),
+                target_request.method,
+                f"http://{self._address}{target_request.path}",
+                data=target_request.body or None,
+                headers=self._headers(target_request),
                 timeout=timeout,
                 allow_redirects=False,
             )
@@ -103,8 +107,11 @@
         detail = f"{type(cause).__name__}: {cause}".rstrip(": ")
         return TargetError(detail, step=step, peer=self._name, sent=sent)
 
-    def _headers(self, order: Order) -> dict[str, str]:
-        headers = {"X-Request-Id": order.attempt, "Content-Type": order.content_type}
-        if order.key:
-            headers["Idempotency-Key"] = order.key
+    def _headers(self, target_request: TargetRequest) -> dict[str, str]:
+        headers = {
+            "X-Request-Id": target_request.attempt,
+            "Content-Type": target_request.content_type,
+        }
+        if target_request.key:
+            headers["Idempotency-Key"] = target_request.key
         return headers
--- a/hibiscusstep/targets/service.py
+++ b/hibiscusstep/targets/service.py
@@ -4,13 +4,13 @@
 from result import Result
 
 from hibiscusstep.errors import TargetError
-from hibiscusstep.target import Answer, Order
+from hibiscusstep.target import TargetAnswer, TargetRequest
 from hibiscusstep.targets.http import READ_BUFFER_BYTES, HttpTarget
 
 __all__ = ["ServiceAnswer", "ServiceTarget"]
 
 
-class ServiceAnswer(Answer):
+class ServiceAnswer(TargetAnswer):
     """A response whose end is detected by its framing (length or last chunk)."""
 
     def __init__(self, response: aiohttp.ClientResponse, target: HttpTarget) -> None:
@@ -46,7 +46,9 @@
 
     name = "service"
 
-    async def send(self, order: Order) -> Result[Answer, TargetError]:
-        """Send an order once."""
-        sent = await self.send_once(order)
+    async def send(
+        self, target_request: TargetRequest
+    ) -> Result[TargetAnswer, TargetError]:
+        """Send a request once."""
+        sent = await self.send_once(target_request)
         return sent.map(lambda response: ServiceAnswer(response, self))
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -77,8 +77,8 @@
         other = RequestHead("POST", CHAT.path, "Bearer demo-mapo-pictures", key="k")
         own = RequestHead("POST", CHAT.path, CHAT.authorization, key="k")
         assert (
-            admit_request(own, chat("x")).digest
-            != admit_request(other, chat("x")).digest
+            admit_request(own, chat("x")).key_digest
+            != admit_request(other, chat("x")).key_digest
         )
 
     def test_longest_path_wins(self):
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hibiscusstep.continuation import Continuation, contents
+from hibiscusstep.continuation import Continuation, event_texts
 from hibiscusstep.events import EventKind
 from hibiscusstep.standins.batching import Job
 
@@ -16,7 +16,7 @@
 
 
 def text_of(reply):
-    return "".join(contents(reply.body))
+    return "".join(event_texts(reply.body))
 
 
 def expected(prompt, tokens):
@@ -176,14 +176,14 @@
         for size in [*pieces, len(events)]:
             part = b"".join(events[position : position + size])
             position += size
-            got.append(again.rest(part))
-        assert again.fits and b"".join(got) == b"".join(events)
+            got.append(again.remove_sent(part))
+        assert again.matches and b"".join(got) == b"".join(events)
 
     def test_another_answer_does_not_fit(self):
         event = b'data: {"choices":[{"delta":{"content":"%s"}}]}\n\n'
         again = Continuation(event % b"one")
-        again.rest(event % b"two")
-        assert not again.fits
+        again.remove_sent(event % b"two")
+        assert not again.matches
 
 
 class TestBorder:
