--- a/hibiscusstep/claims/client.py
+++ b/hibiscusstep/claims/client.py
@@ -9,7 +9,7 @@
 from hibiscusstep.claims.records import ClaimRecord, shard_of
 from hibiscusstep.configuration.in_force import InForce
 from hibiscusstep.configuration.models import ClaimSettings
-from hibiscusstep.mailbox import Question, Tick, Worker
+from hibiscusstep.mailbox import Call, Tick, Worker
 from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import Member, View
 from hibiscusstep.peer import ClaimAsk, ClaimRelease, ClaimReply, Received
@@ -58,7 +58,7 @@
 
     Parameters
     ----------
-    question : Question
+    question : Call
         The claim request to answer.
     shard : int
         Shard of the key.
@@ -70,7 +70,7 @@
         Instance that the message was sent to; None if the message may be lost.
     """
 
-    question: Question
+    question: Call
     shard: int
     ask: ClaimAsk
     deadline: float
@@ -117,7 +117,7 @@
     async def handle(self, message) -> None:
         """Handle a claim, a reply, a view, a configuration or a tick."""
         match message:
-            case Question(body=ClaimRequest()):
+            case Call(body=ClaimRequest()):
                 self._send_claim(message)
             case ReleaseRequest(digest=digest, attempt=attempt):
                 self._release(digest, attempt)
@@ -134,8 +134,8 @@
                 self._expire()
                 self._resend_claims()
 
-    def _send_claim(self, question: Question) -> None:
-        request = question.body
+    def _send_claim(self, call: Call) -> None:
+        request = call.body
         number = f"{self._incarnation}.{next(self._claim_numbers)}"
         shard = shard_of(request.digest, self._settings.shards)
         ask = ClaimAsk(
@@ -151,11 +151,11 @@
         )
         writer = self._send_to_writer(shard, ask)
         if writer is None:
-            question.reply(Verdict(ClaimResult.UNAVAILABLE))
+            call.reply(Verdict(ClaimResult.UNAVAILABLE))
             return
         timeout = self._settings.timeout + REPLY_GRACE_S
         deadline = asyncio.get_running_loop().time() + timeout
-        self._pending[number] = _PendingClaim(question, shard, ask, deadline, writer)
+        self._pending[number] = _PendingClaim(call, shard, ask, deadline, writer)
 
     def _resend_claims(self) -> None:
         """Resend the claims whose writer was lost or no longer writes the shard."""
--- a/hibiscusstep/dispatch_client.py
+++ b/hibiscusstep/dispatch_client.py
@@ -13,7 +13,7 @@
     RequestEnded,
 )
 from hibiscusstep.log import decision
-from hibiscusstep.mailbox import Question, Tick, Worker
+from hibiscusstep.mailbox import Call, Tick, Worker
 from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import Member, View
 from hibiscusstep.peer import (
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True, eq=False)
 class _TrackedRequest:
-    question: Question
+    question: Call
     wanted: GrantRequest
     received: float
     target: str = ""
@@ -127,7 +127,7 @@
     async def handle(self, message) -> None:
         """Handle a message from this instance, a dispatcher or the membership."""
         match message:
-            case Question(body=GrantRequest()):
+            case Call(body=GrantRequest()):
                 self._request_grant(message)
             case FirstTokenReceived(pool=pool, ask=ask, seconds=seconds):
                 self._send(pool, PoolFirstToken(pool, ask, seconds))
@@ -181,13 +181,13 @@
             self._pool_states[pool] = _PoolState(patience=self._standby_after)
         return self._pool_states[pool]
 
-    def _request_grant(self, question: Question) -> None:
-        grant_request = question.body
+    def _request_grant(self, call: Call) -> None:
+        grant_request = call.body
         now = asyncio.get_running_loop().time()
         if not self._has_waiting:
-            self._tick_in(self._busy_tick_s)
+            self._schedule_tick(self._busy_tick_s)
         self._send_ask(
-            grant_request.pool, _TrackedRequest(question, grant_request, now, asked=now)
+            grant_request.pool, _TrackedRequest(call, grant_request, now, asked=now)
         )
 
     def _send_ask(self, pool: str, tracked: _TrackedRequest) -> None:
--- a/hibiscusstep/dispatcher_host.py
+++ b/hibiscusstep/dispatcher_host.py
@@ -18,7 +18,7 @@
     to_work,
 )
 from hibiscusstep.log import decision
-from hibiscusstep.mailbox import Question, Tick, Worker
+from hibiscusstep.mailbox import Call, Tick, Worker
 from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import View
 from hibiscusstep.peer import (
@@ -168,7 +168,7 @@
             case Received(sender=sender, message=StatusAsk(number=number, pool=pool)):
                 reply = StatusReply(number, orjson.dumps(self.status(pool)).decode())
                 self._send(sender, reply)
-            case Question(body=StatusAsk(pool=pool)):
+            case Call(body=StatusAsk(pool=pool)):
                 message.reply(self.status(pool))
             case Received(message=PoolLearnt() as estimates_message):
                 self._handle_estimates(estimates_message)
@@ -333,7 +333,7 @@
             if pool in self._estimates:
                 self._feed(hosted, self._estimates[pool])
             self._feed(hosted, m.Recovered())
-        self._tick_in(TICK_S)
+        self._schedule_tick(TICK_S)
         hosted = self._standby_hosted[pool]
         hosted.dispatcher.share = min(
             1.0, STANDBY_SHARES / max(1, self._view.likely_size)
@@ -459,7 +459,7 @@
                 self._feed(hosted, self._estimates[pool])
             decision("dispatcher-taken", pool=pool)
         if own_pools:
-            self._tick_in(TICK_S)
+            self._schedule_tick(TICK_S)
 
     async def _poll_load_reports(self, pool: str) -> None:
         while True:
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -72,7 +72,7 @@
 from hibiscusstep.peerlink import LinkLost, PeerLinks
 from hibiscusstep.routing.slots import SlotDispatcher
 from hibiscusstep.store import Change, StoreRestored
-from hibiscusstep.supervisor import Child, Restart, Supervisor
+from hibiscusstep.supervisor import Child, RestartPolicy, Supervisor
 
 __all__ = ["ForwardingInstance"]
 
@@ -196,10 +196,10 @@
             *(Child(worker.name, worker.run) for worker in self._workers),
             Child("sweeper", self._sweep),
             Child("log", keep_flushing),
-            Child("registration", self._register, Restart.TRANSIENT),
+            Child("registration", self._register, RestartPolicy.TRANSIENT),
             Child("metrics", self._serve_metrics),
-            Child("readiness", self._serve_readiness, Restart.ESSENTIAL),
-            Child("callers", self._serve_callers, Restart.ESSENTIAL),
+            Child("readiness", self._serve_readiness, RestartPolicy.ESSENTIAL),
+            Child("callers", self._serve_callers, RestartPolicy.ESSENTIAL),
         ]
         decision(
             "start",
--- a/hibiscusstep/instance.py
+++ b/hibiscusstep/instance.py
@@ -53,7 +53,7 @@
 from hibiscusstep.routing.dispatcher import Dispatcher
 from hibiscusstep.routing.retries import RetryBudget
 from hibiscusstep.store import Platform, get_platform_by_name
-from hibiscusstep.supervisor import Child, Restart, Supervisor
+from hibiscusstep.supervisor import Child, RestartPolicy, Supervisor
 from hibiscusstep.targets.http import TargetSessions
 
 __all__ = ["Instance"]
@@ -120,8 +120,8 @@
         self._make_workers()
         children = [
             *(Child(worker.name, worker.run) for worker in self._workers),
-            Child("operators", self._serve_operators, Restart.ESSENTIAL),
-            Child("callers", self._serve_callers, Restart.ESSENTIAL),
+            Child("operators", self._serve_operators, RestartPolicy.ESSENTIAL),
+            Child("callers", self._serve_callers, RestartPolicy.ESSENTIAL),
         ]
         self._supervisor = Supervisor(self._settings.name, children)
         try:
--- a/hibiscusstep/kept_answers.py
+++ b/hibiscusstep/kept_answers.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from hibiscusstep.mailbox import Question, Worker
+from hibiscusstep.mailbox import Call, Worker
 from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import View
 from hibiscusstep.peer import AnswerAsk, AnswerReply, Received
@@ -14,8 +14,8 @@
 __all__ = [
     "AnswerKeeper",
     "AnswerState",
-    "AttemptStarted",
     "AttemptEnded",
+    "AttemptStarted",
     "FetchAnswer",
     "KeptAnswer",
 ]
@@ -107,7 +107,7 @@
         self._kept_bytes = 0
         self._view = View()
         self._attempts: OrderedDict[str, _Attempt] = OrderedDict()
-        self._pending_fetches: dict[str, Question] = {}
+        self._pending_fetches: dict[str, Call] = {}
         self._fetch_numbers = itertools.count()
 
     async def handle(self, message) -> None:
@@ -118,10 +118,10 @@
                 self._evict()
             case AttemptEnded(attempt=attempt, answer=answer):
                 self._finish(attempt, answer)
-            case Question(body=FetchAnswer() as fetch):
+            case Call(body=FetchAnswer() as fetch):
                 self._fetch(message, fetch)
             case Received(sender=sender, message=AnswerAsk(number, attempt)):
-                self._reply_when_finished(attempt, _PeerQuestion(self, sender, number))
+                self._reply_when_finished(attempt, _PeerCall(self, sender, number))
             case Received(message=AnswerReply() as reply):
                 self._handle_reply(reply)
             case ViewChanged(view=view):
@@ -160,14 +160,14 @@
         else:
             waiting.reply(entry.answer)
 
-    def _fetch(self, question: Question, fetch: FetchAnswer) -> None:
+    def _fetch(self, call: Call, fetch: FetchAnswer) -> None:
         if fetch.incarnation == self._incarnation:
-            self._reply_when_finished(fetch.attempt, question)
+            self._reply_when_finished(fetch.attempt, call)
         elif not self._view.holds(fetch.holder, fetch.incarnation):
-            question.reply(KeptAnswer(AnswerState.UNREACHABLE))
+            call.reply(KeptAnswer(AnswerState.UNREACHABLE))
         else:
             number = f"{self._incarnation}.{next(self._fetch_numbers)}"
-            self._pending_fetches[number] = question
+            self._pending_fetches[number] = call
             address = self._view.members[fetch.holder].peer_address
             self._links.tell(Send(address, AnswerAsk(number, fetch.attempt)))
 
@@ -199,7 +199,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _PeerQuestion:
+class _PeerCall:
     keeper: AnswerKeeper
     sender: str
     number: str
--- a/hibiscusstep/mailbox.py
+++ b/hibiscusstep/mailbox.py
@@ -8,7 +8,7 @@
 
 from hibiscusstep.errors import HibiscusstepError
 
-__all__ = ["MailboxFull", "Question", "Tick", "Worker"]
+__all__ = ["Call", "MailboxFull", "Tick", "Worker"]
 
 DEFAULT_CAPACITY = 20_000
 
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Question:
+class Call:
     """A message that expects a reply.
 
     Parameters
@@ -90,9 +90,9 @@
 
     async def ask(self, body: Any) -> Any:
         """Queue a request and wait for its reply."""
-        question = Question(body)
-        self.tell(question)
-        return await question.answer
+        call = Call(body)
+        self.tell(call)
+        return await call.answer
 
     async def start(self) -> None:  # noqa: B027
         """Set up the state; called at each (re)start before the first message."""
@@ -127,9 +127,9 @@
         with contextlib.suppress(MailboxFull):
             self.tell(Tick())
         self._next_tick = None
-        self._tick_in(self.tick_interval)
+        self._schedule_tick(self.tick_interval)
 
-    def _tick_in(self, seconds: float) -> None:
+    def _schedule_tick(self, seconds: float) -> None:
         """Schedule the next tick in `seconds`, unless an earlier one is scheduled."""
         loop = asyncio.get_running_loop()
         due = loop.time() + seconds
--- a/hibiscusstep/supervisor.py
+++ b/hibiscusstep/supervisor.py
@@ -9,14 +9,14 @@
 
 from hibiscusstep.errors import HibiscusstepError
 
-__all__ = ["Child", "Restart", "Supervisor", "TooManyRestarts"]
+__all__ = ["Child", "RestartPolicy", "Supervisor", "TooManyRestarts"]
 
 _LOG = logging.getLogger(__name__)
 FIRST_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 5.0
 
 
-class Restart(enum.Enum):
+class RestartPolicy(enum.Enum):
     """When a child is restarted after it ends."""
 
     PERMANENT = "always restart"
@@ -38,13 +38,13 @@
         Name in logs.
     run : callable returning an awaitable
         Body of the task; called for each (re)start.
-    restart : Restart
+    restart : RestartPolicy
         Whether the child is restarted after it ends.
     """
 
     name: str
     run: Callable[[], Awaitable[None]]
-    restart: Restart = Restart.PERMANENT
+    restart: RestartPolicy = RestartPolicy.PERMANENT
 
 
 class Supervisor:
@@ -106,7 +106,7 @@
         loop = asyncio.get_running_loop()
         while True:
             cause = await self._run_once(child)
-            if cause is None and child.restart is not Restart.PERMANENT:
+            if cause is None and child.restart is not RestartPolicy.PERMANENT:
                 return
             crashes.append(loop.time())
             while crashes and crashes[0] < loop.time() - self._window_s:
@@ -127,7 +127,7 @@
     def _check_restart_limit(
         self, child: Child, cause: Exception | None, crashes: int
     ) -> None:
-        fatal = child.restart is Restart.ESSENTIAL and cause is not None
+        fatal = child.restart is RestartPolicy.ESSENTIAL and cause is not None
         if fatal or crashes > self._max_restarts:
             raise TooManyRestarts(
                 f"{child.name} ended {crashes} times, last: {cause!r}",
--- a/tests/test_claim_client.py
+++ b/tests/test_claim_client.py
@@ -6,7 +6,7 @@
 
 from hibiscusstep.claims.client import Claimer, ClaimRequest
 from hibiscusstep.claims.index import ClaimResult
-from hibiscusstep.mailbox import Question, Tick
+from hibiscusstep.mailbox import Call, Tick
 from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import Member, View
 from hibiscusstep.peer import ClaimReply, Received
@@ -46,9 +46,9 @@
 
     async def send_claim(self):
         await self.claimer.handle(ViewChanged(_view(*self.names)))
-        question = Question(self.request)
-        await self.claimer.handle(question)
-        return question
+        call = Call(self.request)
+        await self.claimer.handle(call)
+        return call
 
     @property
     def addresses(self):
@@ -78,12 +78,12 @@
     @pytest.mark.parametrize("lookup", [False, True])
     async def test_the_claim_is_sent_to_the_next_writer(self, lookup):
         harness = _ClaimerHarness(lookup)
-        question = await harness.send_claim()
+        call = await harness.send_claim()
         await harness.remove_instance(harness.addresses[0])
         assert len(harness.addresses) == 2
         assert harness.addresses[0] != harness.addresses[1]
         await harness.confirm()
-        assert question.answer.result().result is ClaimResult.CONFIRMED
+        assert call.answer.result().result is ClaimResult.CONFIRMED
 
     async def test_the_claim_is_resent_to_a_restarted_writer(self):
         harness = _ClaimerHarness()
@@ -129,13 +129,13 @@
 
     async def test_a_claim_that_gets_no_answer_is_unavailable(self):
         harness = _ClaimerHarness()
-        question = await harness.send_claim()
+        call = await harness.send_claim()
         harness.claimer._settings = harness.claimer._settings.model_copy(
             update={"timeout": -1.0}
         )
-        late = Question(harness.request)
+        late = Call(harness.request)
         await harness.claimer.handle(late)
         await harness.claimer.handle(Tick())
         assert late.answer.result().result is ClaimResult.UNAVAILABLE
-        assert not question.answer.done()
+        assert not call.answer.done()
         await asyncio.sleep(0)
--- a/tests/test_dispatch_client.py
+++ b/tests/test_dispatch_client.py
@@ -5,7 +5,7 @@
 from hibiscusstep.configuration.in_force import InForce
 from hibiscusstep.dispatch_client import DispatchClient
 from hibiscusstep.grant_messages import GrantRequest
-from hibiscusstep.mailbox import Question, Tick
+from hibiscusstep.mailbox import Call, Tick
 from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import Member, View
 from hibiscusstep.peer import (
@@ -63,9 +63,9 @@
         await self.client.handle(InForce(1, b"", Plan({"p": PlannedPool(True)})))
 
     async def ask(self):
-        question = Question(_grant_request())
-        await self.client.handle(question)
-        return question
+        call = Call(_grant_request())
+        await self.client.handle(call)
+        return call
 
     def sent_to_itself(self, kind):
         return [r.message for r in self.local if isinstance(r.message, kind)]
@@ -143,7 +143,7 @@
         fixture = _Fixture()
         await fixture.start(n0=False, n1=True)
         loop = asyncio.get_running_loop()
-        question = await fixture.ask()
+        call = await fixture.ask()
         (_address, asked), *_ = fixture.links.sent[1:]
         time_before = loop.time()
         loop.time = lambda: time_before + seconds
@@ -152,17 +152,17 @@
             await fixture.client.handle(Received("n1:1", grant))
         finally:
             del loop.time
-        return question, [message for _address, message in fixture.links.sent[2:]]
+        return call, [message for _address, message in fixture.links.sent[2:]]
 
     async def test_is_withdrawn_and_requested_again(self):
-        question, (withdrawn, asked) = await self._receive_grant_after(1.0)
+        call, (withdrawn, asked) = await self._receive_grant_after(1.0)
         assert isinstance(withdrawn, PoolWithdraw) and isinstance(asked, PoolAsk)
         assert asked.work.ask != withdrawn.ask
-        assert not question.answer.done()
+        assert not call.answer.done()
 
     async def test_recent_grant_is_used(self):
-        question, sent = await self._receive_grant_after(0.1)
-        assert question.answer.done() and not sent
+        call, sent = await self._receive_grant_after(0.1)
+        assert call.answer.done() and not sent
 
 
 class TestKeepaliveInterval:
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hibiscusstep.mailbox import MailboxFull, Worker
-from hibiscusstep.supervisor import Child, Restart, Supervisor, TooManyRestarts
+from hibiscusstep.supervisor import Child, RestartPolicy, Supervisor, TooManyRestarts
 
 
 class StepRecorder:
@@ -55,7 +55,7 @@
         recorder = StepRecorder()
         children = [
             recorder.child("other"),
-            recorder.child("a", crashes=1, restart=Restart.ESSENTIAL),
+            recorder.child("a", crashes=1, restart=RestartPolicy.ESSENTIAL),
         ]
         ended = await run_until(Supervisor("s", children), lambda: False)
         assert isinstance(ended, TooManyRestarts) and "a ended" in str(ended)
