--- a/hibiscusstep/forwarding/beliefs.py
+++ b/hibiscusstep/forwarding/beliefs.py
@@ -7,7 +7,7 @@
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Tick, Worker
 from hibiscusstep.peer import PoolLearnt
-from hibiscusstep.store import BeliefStore
+from hibiscusstep.store import EstimateStore
 
 __all__ = ["BeliefKeeper"]
 
@@ -27,13 +27,15 @@
 
     Parameters
     ----------
-    store : BeliefStore
+    store : EstimateStore
         Keeps the documents.
     found : callable of PoolLearnt
         Takes what was read.
     """
 
-    def __init__(self, store: BeliefStore, found: Callable[[PoolLearnt], None]) -> None:
+    def __init__(
+        self, store: EstimateStore, found: Callable[[PoolLearnt], None]
+    ) -> None:
         super().__init__("beliefs", tick_interval=KEEP_INTERVAL_S)
         self._store = store
         self._found = found
--- a/hibiscusstep/forwarding/catalog.py
+++ b/hibiscusstep/forwarding/catalog.py
@@ -9,7 +9,7 @@
 from hibiscusstep.forwarding.model import DiscoveredTarget, RoutingTable
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Tick, Worker
-from hibiscusstep.store import Change, Feed, HistoryLost, Listing
+from hibiscusstep.store import Change, Feed, Listing, RevisionExpired
 
 __all__ = [
     "Catalog",
@@ -226,7 +226,7 @@
                     continue
                 revision = None
                 error = seen.unwrap_err()
-                if isinstance(error, HistoryLost):
+                if isinstance(error, RevisionExpired):
                     decision("store-history-lost", feed=feed.name)
                     continue
             if not was_lost:
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -553,7 +553,7 @@
             for name in _ROLLOUT_GAUGES:
                 labels = {"pool": pool, "version": state["version"]}
                 metrics.gauge(f"rollout_{name}", state[name], **labels)
-        left_out = self._around.targets.left_out + self._planner.left_out
+        left_out = self._around.targets.ignored_count + self._planner.ignored_count
         metrics.gauge("target_entries_left_out", left_out)
         metrics.gauge("table_age_seconds", self._catalog.age())
         states = Counter(
--- a/hibiscusstep/forwarding/kept_use.py
+++ b/hibiscusstep/forwarding/kept_use.py
@@ -10,7 +10,7 @@
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Tick, Worker
 from hibiscusstep.peer import Usage, UsageScope
-from hibiscusstep.store import UseStore
+from hibiscusstep.store import UsageStore
 
 __all__ = ["KeepUse", "KeptUse", "KeptUseWorker", "ReadUse", "UseRecorder"]
 
@@ -120,7 +120,7 @@
 
     Parameters
     ----------
-    store : UseStore
+    store : UsageStore
         Keeps the document.
     span : float
         Seconds of the window.
@@ -129,7 +129,7 @@
     """
 
     def __init__(
-        self, store: UseStore, span: float, found: Callable[[KeptUse], None]
+        self, store: UsageStore, span: float, found: Callable[[KeptUse], None]
     ) -> None:
         super().__init__("kept-use", tick_interval=RETRY_INTERVAL_S)
         self._store = store
--- a/hibiscusstep/forwarding/planning.py
+++ b/hibiscusstep/forwarding/planning.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from hibiscusstep.forwarding.left_out import LeftOut
+from hibiscusstep.forwarding.ignored_count import LeftOut
 from hibiscusstep.forwarding.model import DiscoveredTarget, RoutingTable
 from hibiscusstep.rollout.controller import PlannedRollout
 from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
@@ -30,7 +30,7 @@
         self._left_out = LeftOut()
 
     @property
-    def left_out(self) -> int:
+    def ignored_count(self) -> int:
         """Targets that had no place so far, each revision once."""
         return self._left_out.count
 
--- a/hibiscusstep/forwarding/rollouts.py
+++ b/hibiscusstep/forwarding/rollouts.py
@@ -22,7 +22,7 @@
 from hibiscusstep.peer import Received, RolloutRecord, RolloutRecords, RolloutWrite
 from hibiscusstep.rollout.news import RolloutNews
 from hibiscusstep.rollout.order import RolloutOrder, RolloutState
-from hibiscusstep.store import HistoryLost, RolloutStore
+from hibiscusstep.store import RevisionExpired, RolloutStore
 
 __all__ = ["RolloutKeeper", "TargetsChanged"]
 
@@ -314,7 +314,7 @@
                 if changes:
                     self.tell(_Changed(changes))
                 continue
-            if not isinstance(seen.unwrap_err(), HistoryLost):
+            if not isinstance(seen.unwrap_err(), RevisionExpired):
                 await asyncio.sleep(RETRY_S * (0.5 + random.random()))
             revision = None
 
@@ -428,7 +428,7 @@
             began = time.time() - (_now() - known.began)
             kept = KeptRollout(known.order.version, began, known.progress)
             document = to_document(kept)
-            written = await self._store.write_kept(pool, document)
+            written = await self._store.write_progress(pool, document)
             if written.is_err():
                 decision("rollout-not-kept", pool=pool, error=str(written.unwrap_err()))
 
@@ -438,7 +438,7 @@
             self._keeping = asyncio.create_task(self._read_kept(pool))
 
     async def _read_kept(self, pool: str) -> None:
-        reply = await self._store.read_kept(pool)
+        reply = await self._store.read_progress(pool)
         if reply.is_err():
             self._asked_kept.discard(pool)
             return
--- a/hibiscusstep/forwarding/surroundings.py
+++ b/hibiscusstep/forwarding/surroundings.py
@@ -8,12 +8,12 @@
 from hibiscusstep.forwarding.dialect import Dialect
 from hibiscusstep.forwarding.model import RoutingTable
 from hibiscusstep.store import (
-    BeliefStore,
+    EstimateStore,
     Feed,
+    InstanceDirectory,
     RolloutStore,
-    Roster,
     SuspectStore,
-    UseStore,
+    UsageStore,
 )
 
 __all__ = ["Surroundings"]
@@ -35,11 +35,11 @@
         Header fields.
     tables, targets : Feed
         The configuration and the targets' entries.
-    roster : Roster
+    roster : InstanceDirectory
         The instances.
-    beliefs : BeliefStore
+    beliefs : EstimateStore
         Keeps what dispatchers learnt.
-    use : UseStore
+    use : UsageStore
         Keeps what customers used of their quotas.
     suspects : SuspectStore
         Keeps which requests crash targets.
@@ -67,9 +67,9 @@
     dialect: Dialect
     tables: Feed
     targets: Feed
-    roster: Roster
-    beliefs: BeliefStore
-    use: UseStore
+    roster: InstanceDirectory
+    beliefs: EstimateStore
+    use: UsageStore
     suspects: SuspectStore
     rollouts: RolloutStore
     register: Callable
--- a/hibiscusstep/membership/mesh.py
+++ b/hibiscusstep/membership/mesh.py
@@ -13,7 +13,7 @@
 from hibiscusstep.membership.view import Member, View
 from hibiscusstep.peer import Beat, Heartbeat, Received
 from hibiscusstep.peerlink import LinkLost, Send
-from hibiscusstep.store import InstanceRecord, Roster
+from hibiscusstep.store import InstanceDirectory, InstanceRecord
 
 if TYPE_CHECKING:
     from hibiscusstep.configuration.settings import Settings
@@ -54,7 +54,7 @@
         Incarnation of this instance.
     links : Worker
         Sends messages to peers.
-    platform : Roster
+    platform : InstanceDirectory
         Source of the instance list, which lags behind and seeds the membership.
     publish : callable of ViewChanged
         Called with each new view.
@@ -65,7 +65,7 @@
         settings: Settings,
         incarnation: str,
         links: Worker,
-        platform: Roster,
+        platform: InstanceDirectory,
         publish: Callable[[ViewChanged], None],
     ) -> None:
         super().__init__("membership", tick_interval=settings.heartbeat_interval)
--- a/hibiscusstep/platform/client.py
+++ b/hibiscusstep/platform/client.py
@@ -17,22 +17,22 @@
     PlatformNotFound,
     PlatformUnavailable,
 )
-from hibiscusstep.forwarding.left_out import LeftOut
+from hibiscusstep.forwarding.ignored_count import LeftOut
 from hibiscusstep.platform import fields as f
 from hibiscusstep.platform.documents import ROLLOUT_KIND, rollout_status
 from hibiscusstep.platform.eras import EraTracker, join_revision, split_revision
 from hibiscusstep.rollout.order import RolloutOrder, RolloutState
 from hibiscusstep.store import (
-    BeliefStore,
     Change,
+    EstimateStore,
     Feed,
-    HistoryLost,
+    InstanceDirectory,
     InstanceRecord,
     Listing,
+    RevisionExpired,
     RolloutStore,
-    Roster,
     SuspectStore,
-    UseStore,
+    UsageStore,
 )
 
 __all__ = [
@@ -55,7 +55,7 @@
 _STATUS_ERRORS = {
     404: PlatformNotFound,
     409: PlatformConflict,
-    410: HistoryLost,
+    410: RevisionExpired,
 }
 _Decode = Callable[[str, int, dict, dict], object]
 
@@ -221,7 +221,7 @@
         self.name = kind
 
     @property
-    def left_out(self) -> int:
+    def ignored_count(self) -> int:
         """Objects that could not be decoded so far, each revision once."""
         return self._left_out.count
 
@@ -237,7 +237,7 @@
         return Ok(Listing(usable, join_revision(era, revision), era))
 
     async def watch(self, revision: int, timeout: float):
-        """Return the changes since a revision, `HistoryLost` over a restore."""
+        """Return the changes since a revision, `RevisionExpired` over a restore."""
         era, since = split_revision(revision)
         query = {"Watch": str(since), "WaitMs": str(int(timeout * 1000))}
         reply = await self._client.call_in_era(
@@ -303,7 +303,7 @@
         _LOG.error("object left out", extra={**extra, "error": str(cause)})
 
 
-class ObjectRoster(Roster):
+class ObjectRoster(InstanceDirectory):
     """The instances, each with an object that it wrote at its start.
 
     Parameters
@@ -336,7 +336,7 @@
         return await self._client.read_each(self._KIND, _record)
 
 
-class ObjectBeliefs(BeliefStore):
+class ObjectBeliefs(EstimateStore):
     """An object for each pool, which its dispatcher writes.
 
     Parameters
@@ -385,7 +385,7 @@
         return await self._client.read_one(self._KIND, self._NAME)
 
 
-class ObjectUse(_OneObject, UseStore):
+class ObjectUse(_OneObject, UsageStore):
     """What customers used."""
 
     _KIND = "hibiscusstep-use"
@@ -442,7 +442,7 @@
             replace(order, revision=since, state=state, state_version=order.version)
         )
 
-    async def write_kept(
+    async def write_progress(
         self, pool: str, document: dict
     ) -> Result[None, PlatformError]:
         """Write the document of a pool."""
@@ -450,7 +450,7 @@
             self._KEPT_KIND, pool, document, ("PUT", "POST")
         )
 
-    async def read_kept(self, pool: str) -> Result[dict | None, PlatformError]:
+    async def read_progress(self, pool: str) -> Result[dict | None, PlatformError]:
         """Return the document of a pool."""
         return await self._client.read_one(self._KEPT_KIND, pool)
 
@@ -500,8 +500,8 @@
         raise ValueError("nested too deeply") from None
 
 
-def _restored(step: str) -> HistoryLost:
-    return HistoryLost("restored from an older copy", step=step, peer="store")
+def _restored(step: str) -> RevisionExpired:
+    return RevisionExpired("restored from an older copy", step=step, peer="store")
 
 
 def _malformed(kind: str, cause: Exception) -> PlatformError:
--- a/hibiscusstep/store.py
+++ b/hibiscusstep/store.py
@@ -9,25 +9,25 @@
 from hibiscusstep.rollout.order import RolloutOrder, RolloutState
 
 __all__ = [
-    "BeliefStore",
     "Change",
+    "EstimateStore",
     "Feed",
-    "HistoryLost",
+    "InstanceDirectory",
     "InstanceRecord",
     "Listing",
     "Platform",
+    "RevisionExpired",
     "RolloutStore",
-    "Roster",
     "StoreRestored",
     "SuspectStore",
-    "UseStore",
-    "Versioned",
+    "UsageStore",
+    "VersionedObject",
     "get_platform_by_name",
 ]
 
 
 @dataclass(frozen=True, slots=True)
-class Versioned:
+class VersionedObject:
     """An object of the platform with its version.
 
     Parameters
@@ -71,7 +71,7 @@
     """The store was restored from an older copy, so recent writes are lost."""
 
 
-class Roster(ABC):
+class InstanceDirectory(ABC):
     """Lists the instances; the list lags by seconds."""
 
     @abstractmethod
@@ -79,7 +79,7 @@
         """Return the live and leaving instances."""
 
 
-class HistoryLost(PlatformError):
+class RevisionExpired(PlatformError):
     """The changes since a revision are no longer available; list again."""
 
 
@@ -113,12 +113,12 @@
     ----------
     name : str
         Name in logs.
-    left_out : int
+    ignored_count : int
         Number of objects that could not be decoded so far, each revision counted once.
     """
 
     name: str
-    left_out: int = 0
+    ignored_count: int = 0
 
     @abstractmethod
     async def read_all(self) -> Result[Listing, PlatformError]:
@@ -130,12 +130,12 @@
     ) -> Result[tuple[list[Change], int], PlatformError]:
         """Return the changes since a revision, and the revision to continue from.
 
-        Waits up to `timeout` seconds for the first change. The error is `HistoryLost`
+        Waits up to `timeout` seconds for the first change. The error is `RevisionExpired`
         if the store no longer has the changes.
         """
 
 
-class BeliefStore(ABC):
+class EstimateStore(ABC):
     """Stores a document of estimates per pool; read after all instances restart."""
 
     @abstractmethod
@@ -147,7 +147,7 @@
         """Return the documents by pool; they may be seconds old."""
 
 
-class UseStore(ABC):
+class UsageStore(ABC):
     """Stores a document of customers' usage; read after all instances restart."""
 
     @abstractmethod
@@ -160,7 +160,7 @@
 
 
 class SuspectStore(ABC):
-    """Stores a document of requests that crash targets; read as in `UseStore`."""
+    """Stores a document of requests that crash targets; read as in `UsageStore`."""
 
     @abstractmethod
     async def write(self, document: dict) -> Result[None, PlatformError]:
@@ -193,17 +193,17 @@
         """
 
     @abstractmethod
-    async def write_kept(
+    async def write_progress(
         self, pool: str, document: dict
     ) -> Result[None, PlatformError]:
         """Write the progress of a pool's order; the last write wins."""
 
     @abstractmethod
-    async def read_kept(self, pool: str) -> Result[dict | None, PlatformError]:
+    async def read_progress(self, pool: str) -> Result[dict | None, PlatformError]:
         """Return the current progress of a pool's order, None if there is none."""
 
 
-class Platform(Roster):
+class Platform(InstanceDirectory):
     """An object service with versions, conditional updates and watches.
 
     Each method makes one call to the platform, which is counted, and does not retry.
@@ -211,7 +211,7 @@
     """
 
     @abstractmethod
-    async def get(self, key: str) -> Result[Versioned, PlatformError]:
+    async def get(self, key: str) -> Result[VersionedObject, PlatformError]:
         """Return the object of a key."""
 
     @abstractmethod
@@ -233,7 +233,7 @@
     @abstractmethod
     async def watch(
         self, key: str, after: int, timeout: float
-    ) -> Result[Versioned | None, PlatformError]:
+    ) -> Result[VersionedObject | None, PlatformError]:
         """Wait for a version above `after`; return None after `timeout` seconds."""
 
     async def close(self) -> None:
--- a/hibiscusstep/stores/http.py
+++ b/hibiscusstep/stores/http.py
@@ -12,7 +12,7 @@
     PlatformNotFound,
     PlatformUnavailable,
 )
-from hibiscusstep.store import InstanceRecord, Platform, Versioned
+from hibiscusstep.store import InstanceRecord, Platform, VersionedObject
 
 __all__ = ["HttpPlatform"]
 
@@ -38,10 +38,10 @@
         self._timeout = timeout
         self._session: aiohttp.ClientSession | None = None
 
-    async def get(self, key: str) -> Result[Versioned, PlatformError]:
+    async def get(self, key: str) -> Result[VersionedObject, PlatformError]:
         """Return the object."""
         answer = await self._call("GET", self._object_url(key), step="get")
-        return answer.map(lambda reply: Versioned(key, reply.version, reply.body))
+        return answer.map(lambda reply: VersionedObject(key, reply.version, reply.body))
 
     async def put(
         self, key: str, value: bytes, expected: int
@@ -64,7 +64,7 @@
 
     async def watch(
         self, key: str, after: int, timeout: float
-    ) -> Result[Versioned | None, PlatformError]:
+    ) -> Result[VersionedObject | None, PlatformError]:
         """Return the object once its version is above `after`; None after `timeout`."""
         url = f"{self._url}/watch/{quote(key)}?after={after}&timeout={timeout}"
         answer = await self._call(
@@ -72,7 +72,7 @@
         )
         return answer.map(
             lambda reply: (
-                Versioned(key, reply.version, reply.body)
+                VersionedObject(key, reply.version, reply.body)
                 if reply.status == 200
                 else None
             )
--- a/hibiscusstep/stores/memory.py
+++ b/hibiscusstep/stores/memory.py
@@ -13,9 +13,9 @@
     PlatformNotFound,
     PlatformUnavailable,
 )
-from hibiscusstep.store import InstanceRecord, Platform, Versioned
+from hibiscusstep.store import InstanceRecord, Platform, VersionedObject
 
-__all__ = ["Faults", "MAX_VALUE_BYTES", "MemoryPlatform"]
+__all__ = ["MAX_VALUE_BYTES", "Faults", "MemoryPlatform"]
 
 MAX_VALUE_BYTES = 1 << 20
 
@@ -64,11 +64,11 @@
         self.calls: Counter = Counter()
         self.records: list[InstanceRecord] = []
         self.observer: Callable[[str, str], None] | None = None
-        self._objects: dict[str, Versioned] = {}
+        self._objects: dict[str, VersionedObject] = {}
         self._last_version = 0
         self._object_changed = asyncio.Condition()
 
-    async def get(self, key: str) -> Result[Versioned, PlatformError]:
+    async def get(self, key: str) -> Result[VersionedObject, PlatformError]:
         """Return the object."""
         return await self._call("get", key, lambda: self._read(key))
 
@@ -89,7 +89,7 @@
 
     async def watch(
         self, key: str, after: int, timeout: float
-    ) -> Result[Versioned | None, PlatformError]:
+    ) -> Result[VersionedObject | None, PlatformError]:
         """Return the object once its version is above `after`; None after `timeout`."""
         accepted = await self._call("watch", key, lambda: Ok(None))
         if accepted.is_err():
@@ -135,7 +135,7 @@
             detail = f"{key} is at version {current}, not {expected}"
             return Err(PlatformConflict(detail, step="put", peer="platform"))
         self._last_version += 1
-        self._objects[key] = Versioned(key, self._last_version, value)
+        self._objects[key] = VersionedObject(key, self._last_version, value)
         return Ok(self._last_version)
 
     def _remove(self, key: str):
--- a/tests/quota_region.py
+++ b/tests/quota_region.py
@@ -17,7 +17,7 @@
 from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import Member, View
 from hibiscusstep.peer import Received
-from hibiscusstep.store import UseStore
+from hibiscusstep.store import UsageStore
 
 STEP_S = 0.02
 TICK_S = 0.2
@@ -41,7 +41,7 @@
         self.sent.append(send)
 
 
-class Store(UseStore):
+class Store(UsageStore):
     """Counts its calls; answers at once unless it is away."""
 
     def __init__(self):
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -12,12 +12,12 @@
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
 from hibiscusstep.routing.slots import SlotDispatcher
-from hibiscusstep.store import BeliefStore
+from hibiscusstep.store import EstimateStore
 
 NEWS = PoolLearnt("p", ["t0", "t1"], [1.0, 5.0], 0.03, 1e-5, 0.15)
 
 
-class _Store(BeliefStore):
+class _Store(EstimateStore):
     def __init__(self, **documents):
         self.documents = documents
         self.away = False
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -425,7 +425,7 @@
         lines = [r for r in caplog.records if r.message == "object left out"]
         assert [line.object for line in lines] == ["t1"]
         assert "State: unknown: 'odd'" in lines[0].error
-        assert watched.feed.left_out == 1
+        assert watched.feed.ignored_count == 1
 
 
 class TestRoster:
--- a/tests/test_hierarchical.py
+++ b/tests/test_hierarchical.py
@@ -17,7 +17,7 @@
 from hibiscusstep.peer import Beat, Heartbeat, Received
 from hibiscusstep.peerlink import LinkLost
 from hibiscusstep.platform.surroundings import load_surroundings
-from hibiscusstep.store import InstanceRecord, Roster
+from hibiscusstep.store import InstanceDirectory, InstanceRecord
 
 MESH_SIZE = 2
 INSTANCES = 6
@@ -111,7 +111,7 @@
         self.sent.append((send.address, type(send.message)))
 
 
-class _Roster(Roster):
+class _Directory(InstanceDirectory):
     """List of two relays and an instance of lower capacity that follows one of them."""
 
     async def instances(self):
@@ -169,7 +169,7 @@
         )
         links = _Links()
         relay = GroupedMembership(
-            settings, "inc0", links, _Roster(), lambda _view: None, 100, MESH_SIZE
+            settings, "inc0", links, _Directory(), lambda _view: None, 100, MESH_SIZE
         )
         relay.sent = links.sent
         await relay.start()
@@ -224,7 +224,7 @@
         )
         views = []
         instance = GroupedMembership(
-            settings, "inc0", _Links(), _Roster(), views.append, 100, MESH_SIZE
+            settings, "inc0", _Links(), _Directory(), views.append, 100, MESH_SIZE
         )
         await instance.start()
         try:
@@ -264,7 +264,7 @@
             def tell(self, send):
                 queue.append((self.sender, send.address, send.message))
 
-        class Listed(Roster):
+        class Listed(InstanceDirectory):
             async def instances(self):
                 return Ok(
                     [
