--- a/hibiscusstep/checker.py
+++ b/hibiscusstep/checker.py
@@ -35,7 +35,7 @@
 
     Parameters
     ----------
-    promise : str
+    guarantee : str
         Name of the guarantee.
     detail : str
         Description in one line.
@@ -43,13 +43,13 @@
         The events that violate it.
     """
 
-    promise: str
+    guarantee: str
     detail: str
     events: tuple[Event, ...]
 
     def __str__(self) -> str:
         """Return the violation and its events, one per line."""
-        lines = [f"{self.promise}: {self.detail}"]
+        lines = [f"{self.guarantee}: {self.detail}"]
         lines += [
             f"    {event.at:.4f} {event.kind} {event.request} {event.attempt} "
             f"{event.instance} {event.tier} {event.target} {event.detail}"
--- a/hibiscusstep/clock.py
+++ b/hibiscusstep/clock.py
@@ -8,7 +8,7 @@
 import asyncio
 import time
 
-__all__ = ["SuspensionWatch", "elapsed"]
+__all__ = ["SuspensionDetector", "elapsed"]
 
 # Above the error from reading two clocks in turn, also on a busy machine where the
 # process is interrupted between the readings.
@@ -20,7 +20,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class SuspensionWatch:
+class SuspensionDetector:
     """Detects suspensions by comparing the boot-time clock with the loop's clock."""
 
     def __init__(self) -> None:
--- a/hibiscusstep/cmdline/client.py
+++ b/hibiscusstep/cmdline/client.py
@@ -22,7 +22,7 @@
 from hibiscusstep.errors import HibiscusstepError
 from hibiscusstep.operator_client import OperatorClient
 from hibiscusstep.store import Platform, get_platform_by_name
-from hibiscusstep.timeline import read_lines, tell_story
+from hibiscusstep.timeline import build_timeline, parse_lines
 
 __all__ = ["main"]
 
@@ -213,7 +213,7 @@
     _progress(f"accepted: version {applied.version} ({changed})")
     client = OperatorClient(entry, key)
     try:
-        behind = await client.wait_in_force(applied.version, timeout, _progress)
+        behind = await client.wait_until_in_force(applied.version, timeout, _progress)
     except (HibiscusstepError, aiohttp.ClientError, OSError) as error:
         behind = [f"{entry} ({error})"]
     finally:
@@ -255,7 +255,7 @@
     Asks an instance, or with --log tells it from the lines of all instances.
     """
     if log is not None:
-        story = tell_story(request, read_lines(log))
+        story = build_timeline(request, parse_lines(log))
         if not story:
             raise HibiscusstepError("no line of this request", step="explain")
         fields = [line.fields for line in story]
--- a/hibiscusstep/explain.py
+++ b/hibiscusstep/explain.py
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self._steps: OrderedDict[str, list[Step]] = OrderedDict()
 
-    def note(self, request: str, customer: str, what: str, **fields) -> None:
+    def add_step(self, request: str, customer: str, what: str, **fields) -> None:
         """Record a step of a request."""
         steps = self._steps.setdefault(request, [])
         steps.append(Step(round(time.time(), 3), str(what), customer, fields))
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -10,7 +10,7 @@
 
 from aiohttp import web
 
-from hibiscusstep.clock import SuspensionWatch
+from hibiscusstep.clock import SuspensionDetector
 from hibiscusstep.configuration.in_force import InForce
 from hibiscusstep.dispatch_client import DispatchClient
 from hibiscusstep.dispatcher_host import DispatcherHost
@@ -36,7 +36,7 @@
 from hibiscusstep.forwarding.serving import serve
 from hibiscusstep.forwarding.spread import Spread
 from hibiscusstep.forwarding.surroundings import Surroundings
-from hibiscusstep.log import decision, dropped_lines, keep_flushing
+from hibiscusstep.log import count_dropped_lines, decision, flush_periodically
 from hibiscusstep.mailbox import Worker
 from hibiscusstep.membership.hierarchical import GroupedMembership
 from hibiscusstep.membership.mesh import OwnState, ViewChanged
@@ -195,7 +195,7 @@
         children = [
             *(Child(worker.name, worker.run) for worker in self._workers),
             Child("sweeper", self._sweep),
-            Child("log", keep_flushing),
+            Child("log", flush_periodically),
             Child("registration", self._register, RestartPolicy.TRANSIENT),
             Child("metrics", self._serve_metrics),
             Child("readiness", self._serve_readiness, RestartPolicy.ESSENTIAL),
@@ -486,7 +486,7 @@
 
     async def _sweep(self) -> None:
         eligible = False
-        suspensions = SuspensionWatch()
+        suspensions = SuspensionDetector()
         for sweeps in itertools.count(1):
             await asyncio.sleep(SWEEP_INTERVAL_S)
             self._connections.sweep()
@@ -544,7 +544,7 @@
         metrics.gauge("followers", len(self._view.followers))
         metrics.gauge("silent_members", self._view.silent)
         metrics.gauge("connections_opened", self._connections.opened)
-        metrics.gauge("log_lines_dropped", dropped_lines())
+        metrics.gauge("log_lines_dropped", count_dropped_lines())
         metrics.gauge("requests_suspected", self._quarantine.suspected)
         metrics.gauge("requests_quarantined", self._quarantine.quarantined)
         for pool, count in self._dispatcher_host.overdue_slots.items():
--- a/hibiscusstep/load/compare.py
+++ b/hibiscusstep/load/compare.py
@@ -159,7 +159,7 @@
 
         applied = await apply_change(platform, edit, "compare", log=_silent)
         operator = self._deployment.operator
-        await operator.wait_in_force(applied.version, IN_FORCE_TIMEOUT_S, _silent)
+        await operator.wait_until_in_force(applied.version, IN_FORCE_TIMEOUT_S, _silent)
         _version, stored = await read_stored(platform)
         return {
             name: f"http://{target.address}"
--- a/hibiscusstep/log.py
+++ b/hibiscusstep/log.py
@@ -11,9 +11,9 @@
 
 __all__ = [
     "TextFormatter",
+    "count_dropped_lines",
     "decision",
-    "dropped_lines",
-    "keep_flushing",
+    "flush_periodically",
     "set_up_logging",
 ]
 
@@ -82,12 +82,12 @@
     return [h for h in logging.getLogger().handlers if isinstance(h, BoundedHandler)]
 
 
-def dropped_lines() -> int:
+def count_dropped_lines() -> int:
     """Return the number of log lines dropped since the start."""
     return sum(handler.dropped for handler in _bounded_handlers())
 
 
-async def keep_flushing() -> None:
+async def flush_periodically() -> None:
     """Flush pending log lines periodically until cancelled."""
     while True:
         await asyncio.sleep(FLUSH_INTERVAL_S)
--- a/hibiscusstep/operator_client.py
+++ b/hibiscusstep/operator_client.py
@@ -58,7 +58,7 @@
             )
         return await self._get(addresses[instance], f"/explain/{request}")
 
-    async def wait_in_force(
+    async def wait_until_in_force(
         self, version: int, timeout: float, log: Callable[[str], None]
     ) -> list[str]:
         """Wait until every live instance has a version in force.
--- a/hibiscusstep/peerlink.py
+++ b/hibiscusstep/peerlink.py
@@ -172,7 +172,7 @@
             self._last_encoded = message
         return self._last_body
 
-    def cut(self, addresses: set[str]) -> None:
+    def block(self, addresses: set[str]) -> None:
         """Drop all traffic from and to these peers; for tests of network partitions."""
         self._blocked = set(addresses)
 
--- a/hibiscusstep/progress.py
+++ b/hibiscusstep/progress.py
@@ -91,7 +91,7 @@
 
     def explain(self, what: str, **fields) -> None:
         """Store a step for operators."""
-        self._explainer.note(
+        self._explainer.add_step(
             self._admitted.request, self._admitted.customer, what, **fields
         )
 
--- a/hibiscusstep/timeline.py
+++ b/hibiscusstep/timeline.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-__all__ = ["LogLine", "read_lines", "tell_story"]
+__all__ = ["LogLine", "build_timeline", "parse_lines"]
 
 # Seconds before and after a request in which state changes are included.
 WINDOW_BEFORE_S = 2.0
@@ -66,12 +66,12 @@
         return f"{time_of_day} {self.instance} {self.message}: {details}"
 
 
-def read_lines(texts: Iterable[str]) -> list[LogLine]:
+def parse_lines(texts: Iterable[str]) -> list[LogLine]:
     """Parse the log lines among `texts`; text before the JSON object is skipped."""
     return [line for text in texts if (line := _parse(text))]
 
 
-def tell_story(request: str, lines: list[LogLine]) -> list[LogLine]:
+def build_timeline(request: str, lines: list[LogLine]) -> list[LogLine]:
     """Return a request's lines and the related state changes in order of time.
 
     Parameters
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -281,14 +281,14 @@
         for side in sides:
             others = [n for other in sides if other is not side for n in other]
             for name in side:
-                self.entries[name].links.cut(
+                self.entries[name].links.block(
                     {f"127.0.0.1:{self._ports[other][2]}" for other in others}
                 )
 
     def heal(self):
         """End all cuts."""
         for entry in self.entries.values():
-            entry.links.cut(set())
+            entry.links.block(set())
 
     async def settled(self):
         """Wait until all instances see each other and every pool is dispatched."""
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -36,7 +36,7 @@
         settings = {"claims_enabled": False}
         async with Cluster(folder, settings=settings) as cluster:
             await charge_through_all_instances(cluster, "bib-1")
-            promises = {finding.promise for finding in cluster.findings()}
+            promises = {finding.guarantee for finding in cluster.findings()}
             assert "at most once" in promises
 
     async def test_after_the_holder_was_killed(self, folder):
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -82,7 +82,8 @@
     @pytest.mark.parametrize("name", VIOLATING)
     def test_finds_violation(self, name):
         promises = {
-            violation.promise for violation in check_history(history(*VIOLATING[name]))
+            violation.guarantee
+            for violation in check_history(history(*VIOLATING[name]))
         }
         assert name.partition(",")[0] in promises
 
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,7 +1,7 @@
 """Tests of hibiscusstep.clock: detection of suspensions."""
 
 from hibiscusstep import clock
-from hibiscusstep.clock import SuspensionWatch, elapsed
+from hibiscusstep.clock import SuspensionDetector, elapsed
 
 
 class TestElapsed:
@@ -9,12 +9,12 @@
         assert elapsed() <= elapsed()
 
 
-class TestSuspensionWatch:
+class TestSuspensionDetector:
     async def test_reports_each_suspension_once(self, monkeypatch):
         now = {"elapsed": 100.0, "steady": 7.0}
         monkeypatch.setattr(clock, "elapsed", lambda: now["elapsed"])
         monkeypatch.setattr(clock, "_steady", lambda: now["steady"])
-        watch = SuspensionWatch()
+        watch = SuspensionDetector()
         now["elapsed"] += 0.5
         now["steady"] += 0.5
         assert watch.check() == 0.0
--- a/tests/test_mechanisms_off.py
+++ b/tests/test_mechanisms_off.py
@@ -25,7 +25,7 @@
 
 
 def promises(cluster):
-    return {finding.promise for finding in cluster.findings()}
+    return {finding.guarantee for finding in cluster.findings()}
 
 
 class TestOff:
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -51,7 +51,7 @@
         settings = {"tier_guard_enabled": False}
         async with small(tmp_path, settings=settings) as cluster:
             await asyncio.gather(*await overload(cluster))
-            assert "tier order" in {f.promise for f in cluster.findings()}
+            assert "tier order" in {f.guarantee for f in cluster.findings()}
 
     async def test_lower_running_work_is_stopped_for_higher(self, tmp_path):
         async with small(tmp_path) as cluster:
