--- a/examples/slopes.py
+++ b/examples/slopes.py
@@ -20,7 +20,7 @@
 from hibiscusstep import codec, peer
 from hibiscusstep.claims.index import ClaimIndex, ClaimResult
 from hibiscusstep.claims.records import ClaimHead, ClaimRecord
-from hibiscusstep.claims.shard import Pending, ShardWriter
+from hibiscusstep.claims.shard import PendingRequest, ShardWriter
 from hibiscusstep.configuration.models import load_configuration
 from hibiscusstep.configuration.settings import Settings
 from hibiscusstep.configuration.stored import CONFIGURATION_KEY, Stored
@@ -271,7 +271,7 @@
         assert verdict.result is ClaimResult.CONFIRMED
         waits.append(loop.time() - asked)
 
-    writer.add(Pending(_record(number), "", False, asked + 60, reply))
+    writer.add(PendingRequest(_record(number), "", False, asked + 60, reply))
 
 
 def _claim_memory():
@@ -282,7 +282,7 @@
         gc.collect()
         tracemalloc.start()
         index = ClaimIndex(86_400)
-        index.take_head(codec.decode(ClaimHead, encoded), 1)
+        index.apply_head(codec.decode(ClaimHead, encoded), 1)
         index.head = ClaimHead()
         gc.collect()
         held = tracemalloc.get_traced_memory()[0]
--- a/hibiscusstep/claims/client.py
+++ b/hibiscusstep/claims/client.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from hibiscusstep.claims.index import ClaimResult, Verdict
+from hibiscusstep.claims.index import ClaimResult, ClaimVerdict
 from hibiscusstep.claims.records import ClaimRecord, shard_of
 from hibiscusstep.configuration.in_force import InForce
 from hibiscusstep.configuration.models import ClaimSettings
@@ -15,7 +15,7 @@
 from hibiscusstep.peer import ClaimAsk, ClaimRelease, ClaimReply, Received
 from hibiscusstep.peerlink import LinkLost, Send
 
-__all__ = ["ClaimRequest", "Claimer", "ReleaseRequest"]
+__all__ = ["ClaimClient", "ClaimRequest", "ReleaseRequest"]
 
 TICK_S = 0.1
 REPLY_GRACE_S = 0.3
@@ -77,7 +77,7 @@
     writer: Member | None = None
 
 
-class Claimer(Worker):
+class ClaimClient(Worker):
     """Client of the claim writers for the requests of this instance.
 
     If the writer is lost, the claim is resent to the next one. This is safe, since a
@@ -151,7 +151,7 @@
         )
         writer = self._send_to_writer(shard, ask)
         if writer is None:
-            call.reply(Verdict(ClaimResult.UNAVAILABLE))
+            call.reply(ClaimVerdict(ClaimResult.UNAVAILABLE))
             return
         timeout = self._settings.timeout + REPLY_GRACE_S
         deadline = asyncio.get_running_loop().time() + timeout
@@ -183,14 +183,14 @@
             reply.attempt,
             0,
         )
-        pending.question.reply(Verdict(ClaimResult(reply.result), record))
+        pending.question.reply(ClaimVerdict(ClaimResult(reply.result), record))
 
     def _expire(self) -> None:
         now = asyncio.get_running_loop().time()
         for number, pending in list(self._pending.items()):
             if pending.deadline <= now:
                 del self._pending[number]
-                pending.question.reply(Verdict(ClaimResult.UNAVAILABLE))
+                pending.question.reply(ClaimVerdict(ClaimResult.UNAVAILABLE))
                 if not pending.question.body.lookup:
                     self._release(
                         pending.question.body.digest, pending.question.body.attempt
--- a/hibiscusstep/claims/index.py
+++ b/hibiscusstep/claims/index.py
@@ -5,7 +5,7 @@
 
 from hibiscusstep.claims.records import ClaimHead, ClaimRecord, SealedSegment
 
-__all__ = ["ClaimIndex", "ClaimResult", "Verdict"]
+__all__ = ["ClaimIndex", "ClaimResult", "ClaimVerdict"]
 
 
 class ClaimResult(enum.StrEnum):
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class ClaimVerdict:
     """The result of a claim, and the record that holds the key if it is held."""
 
     result: ClaimResult
@@ -63,14 +63,14 @@
         """Mark a segment as loaded whose records are already in the index."""
         self._loaded_segments.add(name)
 
-    def take_head(self, head: ClaimHead, version: int) -> None:
+    def apply_head(self, head: ClaimHead, version: int) -> None:
         """Apply a version of the head whose segments are loaded."""
         self.head = head
         self.version = version
         for record in head.open:
             self._add(record)
 
-    def check_claim(self, record: ClaimRecord, supersedes: str) -> Verdict:
+    def check_claim(self, record: ClaimRecord, supersedes: str) -> ClaimVerdict:
         """Check whether a claim may be written.
 
         Parameters
@@ -82,12 +82,12 @@
         """
         latest = self._by_digest.get(record.digest)
         if latest is None or latest.released or self._is_expired(latest, record.at):
-            return Verdict(ClaimResult.FREE)
+            return ClaimVerdict(ClaimResult.FREE)
         if latest.attempt == record.attempt:
-            return Verdict(ClaimResult.CONFIRMED, latest)
+            return ClaimVerdict(ClaimResult.CONFIRMED, latest)
         if supersedes and latest.attempt == supersedes:
-            return Verdict(ClaimResult.FREE)
-        return Verdict(ClaimResult.HELD, latest)
+            return ClaimVerdict(ClaimResult.FREE)
+        return ClaimVerdict(ClaimResult.HELD, latest)
 
     def is_held_by(self, digest: bytes, attempt: str) -> bool:
         """Return whether an attempt holds a key and was not released."""
--- a/hibiscusstep/claims/shard.py
+++ b/hibiscusstep/claims/shard.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from hibiscusstep import codec
-from hibiscusstep.claims.index import ClaimIndex, ClaimResult, Verdict
+from hibiscusstep.claims.index import ClaimIndex, ClaimResult, ClaimVerdict
 from hibiscusstep.claims.records import (
     ClaimHead,
     ClaimRecord,
@@ -27,10 +27,10 @@
 )
 from hibiscusstep.store import Platform
 
-__all__ = ["Pending", "ShardWriter"]
+__all__ = ["PendingRequest", "ShardWriter"]
 
 _LOG = logging.getLogger(__name__)
-SEAL_AT = 64
+SEAL_AFTER_RECORDS = 64
 SEGMENTS_PER_MERGE = 8
 MAX_SEGMENT_RECORDS = 6000
 RETRY_PAUSE_S = 0.2
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Pending:
+class PendingRequest:
     """A claim or look-up that waits for a write or a read.
 
     Parameters
@@ -53,7 +53,7 @@
         Whether to look the key up without writing a claim.
     deadline : float
         When it is answered *unavailable*, in seconds on the loop's clock.
-    reply : callable of Verdict
+    reply : callable of ClaimVerdict
         Called once with the answer.
     """
 
@@ -61,10 +61,10 @@
     supersedes: str
     lookup: bool
     deadline: float
-    reply: Callable[[Verdict], None]
+    reply: Callable[[ClaimVerdict], None]
     answered: bool = False
 
-    def answer(self, verdict: Verdict) -> None:
+    def answer(self, verdict: ClaimVerdict) -> None:
         """Reply unless this was answered before."""
         if not self.answered:
             self.answered = True
@@ -98,7 +98,7 @@
         self._index = ClaimIndex(retention)
         self._retention = retention
         self._interval = interval
-        self._pending: list[Pending] = []
+        self._pending: list[PendingRequest] = []
         self._releases: list[ClaimRecord] = []
         self._work_queued = asyncio.Event()
         self._head_loaded = False
@@ -121,10 +121,10 @@
         """Whether nothing is queued and nothing is being written."""
         return not (self._pending or self._releases or self._writing)
 
-    def add(self, pending: Pending) -> None:
+    def add(self, pending: PendingRequest) -> None:
         """Queue a claim or a look-up, or refuse it while a write gets no answer."""
         if self._writing and not self.platform_reachable:
-            pending.answer(Verdict(ClaimResult.UNAVAILABLE))
+            pending.answer(ClaimVerdict(ClaimResult.UNAVAILABLE))
             return
         if pending.lookup and self._head_loaded and self.platform_reachable:
             verdict = self._index.check_claim(pending.record, pending.supersedes)
@@ -143,7 +143,7 @@
         """Answer what is past its deadline; its holder treats the attempt as dead."""
         for pending in self._pending:
             if pending.deadline <= now:
-                pending.answer(Verdict(ClaimResult.UNAVAILABLE))
+                pending.answer(ClaimVerdict(ClaimResult.UNAVAILABLE))
         self._pending = [p for p in self._pending if not p.answered]
 
     async def run(self) -> None:
@@ -182,7 +182,7 @@
         for sealed_segment in self._index.missing_segments(head):
             if not await self._load_segment(sealed_segment.name):
                 return False
-        self._index.take_head(head, item.version)
+        self._index.apply_head(head, item.version)
         self._head_loaded = True
         return True
 
@@ -259,10 +259,10 @@
             head.next_sequence + len(records),
         )
 
-    def _select_writable(self, batch: list[Pending]) -> list[Pending]:
+    def _select_writable(self, batch: list[PendingRequest]) -> list[PendingRequest]:
         """Answer what needs no write and return one claim for each free key."""
-        claims: dict[bytes, Pending] = {}
-        later: list[Pending] = []
+        claims: dict[bytes, PendingRequest] = {}
+        later: list[PendingRequest] = []
         for pending in batch:
             verdict = self._index.check_claim(pending.record, pending.supersedes)
             if verdict.result is not ClaimResult.FREE or pending.lookup:
@@ -275,7 +275,7 @@
         return list(claims.values())
 
     async def _write_head(
-        self, head: ClaimHead, claims: list[Pending]
+        self, head: ClaimHead, claims: list[PendingRequest]
     ) -> Result[int, PlatformError]:
         """Write the head until it is known to have succeeded (Ok) or failed (Err)."""
         value = codec.encode(head)
@@ -291,11 +291,11 @@
             await asyncio.sleep(RETRY_PAUSE_S)
             self._expire_claims(claims)
 
-    def _expire_claims(self, claims: list[Pending]) -> None:
+    def _expire_claims(self, claims: list[PendingRequest]) -> None:
         now = asyncio.get_running_loop().time()
         for pending in claims:
             if pending.deadline <= now:
-                pending.answer(Verdict(ClaimResult.UNAVAILABLE))
+                pending.answer(ClaimVerdict(ClaimResult.UNAVAILABLE))
         self.expire(now)
 
     async def _verify_write(self, head: ClaimHead) -> Result[int, PlatformError]:
@@ -309,17 +309,17 @@
             await asyncio.sleep(RETRY_PAUSE_S)
 
     async def _confirm_claims(
-        self, head: ClaimHead, version: int, claims: list[Pending]
+        self, head: ClaimHead, version: int, claims: list[PendingRequest]
     ) -> None:
-        self._index.take_head(head, version)
+        self._index.apply_head(head, version)
         self._index_read_at = asyncio.get_running_loop().time()
         self.claims_written += len(claims)
         for pending in claims:
             if pending.answered:
                 self._releases.append(replace(pending.record, released=True))
                 self._work_queued.set()
-            pending.answer(Verdict(ClaimResult.CONFIRMED, pending.record))
-        if len(head.open) >= SEAL_AT:
+            pending.answer(ClaimVerdict(ClaimResult.CONFIRMED, pending.record))
+        if len(head.open) >= SEAL_AFTER_RECORDS:
             await self._seal_head()
 
     async def _seal_head(self) -> None:
@@ -354,7 +354,7 @@
             await self._platform.delete(key)
             return
         self._index.mark_segment_loaded(sealed_segment.name)
-        self._index.take_head(sealed_head, written.unwrap())
+        self._index.apply_head(sealed_head, written.unwrap())
         for old in [*expired, *merged]:
             await self._platform.delete(segment_key(self._shard, old.name))
 
--- a/hibiscusstep/claims/writer.py
+++ b/hibiscusstep/claims/writer.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from hibiscusstep.claims.index import Verdict
+from hibiscusstep.claims.index import ClaimVerdict
 from hibiscusstep.claims.records import ClaimRecord
-from hibiscusstep.claims.shard import Pending, ShardWriter
+from hibiscusstep.claims.shard import PendingRequest, ShardWriter
 from hibiscusstep.configuration.in_force import InForce
 from hibiscusstep.configuration.models import ClaimSettings
 from hibiscusstep.mailbox import Tick, Worker
@@ -43,7 +43,7 @@
     links : Worker
         Sends messages to peers.
     deliver_locally : callable of Received
-        Delivers replies to the claimer of this instance.
+        Delivers replies to the claim client of this instance.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self._shards = {}
 
     @property
-    def totals(self) -> tuple[int, int]:
+    def write_counts(self) -> tuple[int, int]:
         """Number of writes, and number of claims written by them."""
         writers = [shard.writer for shard in self._shards.values()]
         return sum(w.writes for w in writers), sum(w.claims_written for w in writers)
@@ -102,7 +102,7 @@
             ask.attempt,
             int(time.time()),
         )
-        pending = Pending(
+        pending = PendingRequest(
             record,
             ask.supersedes,
             ask.lookup,
@@ -117,7 +117,7 @@
         )
         self._get_or_start_shard(release.shard).writer.release(record)
 
-    def _send_reply(self, address: str, number: str, verdict: Verdict) -> None:
+    def _send_reply(self, address: str, number: str, verdict: ClaimVerdict) -> None:
         record = verdict.record or ClaimRecord(b"", b"", "", "", "", 0)
         reply = ClaimReply(
             number,
--- a/hibiscusstep/idempotency.py
+++ b/hibiscusstep/idempotency.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from hibiscusstep.admission import AdmittedRequest
-from hibiscusstep.claims.client import Claimer, ClaimRequest, ReleaseRequest
-from hibiscusstep.claims.index import ClaimResult, Verdict
+from hibiscusstep.claims.client import ClaimClient, ClaimRequest, ReleaseRequest
+from hibiscusstep.claims.index import ClaimResult, ClaimVerdict
 from hibiscusstep.claims.records import ClaimRecord
 from hibiscusstep.events import EventKind, NullRecorder
 from hibiscusstep.kept_answers import (
@@ -29,7 +29,7 @@
 
     Parameters
     ----------
-    claimer : Claimer
+    claim_client : ClaimClient
         Sends claims to their writers.
     answers : AnswerKeeper
         Keeps the outcomes of attempts.
@@ -41,13 +41,13 @@
 
     def __init__(
         self,
-        claimer: Claimer,
+        claim_client: ClaimClient,
         answers: AnswerKeeper,
         recorder: NullRecorder,
         *,
         enabled: bool = True,
     ) -> None:
-        self._claimer = claimer
+        self._claim_client = claim_client
         self._answers = answers
         self._recorder = recorder
         self._enabled = enabled
@@ -125,12 +125,14 @@
             answer = kept_answer or KeptAnswer(AnswerState.GONE)
         else:
             answer = KeptAnswer(AnswerState.DEAD)
-            self._claimer.tell(ReleaseRequest(admitted.key_digest, admitted.request))
+            self._claim_client.tell(
+                ReleaseRequest(admitted.key_digest, admitted.request)
+            )
         self._answers.tell(AttemptEnded(admitted.request, answer))
 
     async def _request_claim(
         self, admitted, supersedes: str, lookup: bool = False
-    ) -> Verdict:
+    ) -> ClaimVerdict:
         request = ClaimRequest(
             admitted.key_digest,
             admitted.body_digest,
@@ -138,7 +140,7 @@
             supersedes,
             lookup,
         )
-        return await self._claimer.ask(request)
+        return await self._claim_client.ask(request)
 
     async def _fetch_earlier(
         self, admitted: AdmittedRequest, record: ClaimRecord
--- a/hibiscusstep/instance.py
+++ b/hibiscusstep/instance.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 
 from hibiscusstep.caller_server import CallerServer
-from hibiscusstep.claims.client import Claimer
+from hibiscusstep.claims.client import ClaimClient
 from hibiscusstep.claims.writer import ClaimWriter
 from hibiscusstep.configuration.in_force import InForce
 from hibiscusstep.configuration.settings import Settings
@@ -193,7 +193,7 @@
         self._claim_writer = ClaimWriter(
             name, address, self._platform, self._links, self._deliver
         )
-        self._claimer = Claimer(
+        self._claim_client = ClaimClient(
             name, self._incarnation, address, self._links, self._deliver
         )
         self._answers = AnswerKeeper(
@@ -206,7 +206,7 @@
             self._dispatcher_host,
             self._dispatch_client,
             self._claim_writer,
-            self._claimer,
+            self._claim_client,
             self._answers,
         ]
         self._make_servers()
@@ -214,7 +214,7 @@
 
     def _make_servers(self) -> None:
         keys = KeyGuard(
-            self._claimer,
+            self._claim_client,
             self._answers,
             self._recorder,
             enabled=self._settings.claims_enabled,
@@ -255,7 +255,7 @@
             ),
             self._dispatch_client: (PoolGrant, PoolRefuse, PoolStop, NotDispatcher),
             self._claim_writer: (ClaimAsk, ClaimRelease),
-            self._claimer: (ClaimReply,),
+            self._claim_client: (ClaimReply,),
             self._answers: (AnswerAsk, AnswerReply),
         }
         return {
@@ -267,7 +267,7 @@
     def _deliver(self, message: Received | LinkLost) -> None:
         """Deliver a message from a peer or a local task to its receiver."""
         if isinstance(message, LinkLost):
-            for worker in (self._dispatch_client, self._membership, self._claimer):
+            for worker in (self._dispatch_client, self._membership, self._claim_client):
                 worker.tell(message)
         elif isinstance(message.message, StatusReply):
             future = self._pending_status.pop(message.message.number, None)
@@ -283,7 +283,7 @@
             self._dispatcher_host,
             self._dispatch_client,
             self._claim_writer,
-            self._claimer,
+            self._claim_client,
             self._answers,
         ):
             worker.tell(changed)
@@ -298,7 +298,7 @@
             self._dispatcher_host,
             self._dispatch_client,
             self._claim_writer,
-            self._claimer,
+            self._claim_client,
         ):
             worker.tell(in_force)
         self._membership.tell(OwnState(version=in_force.version, ready=True))
@@ -329,7 +329,7 @@
         metrics.version.set({}, self._in_force.version)
         metrics.members.set({}, len(self._view.members))
         metrics.restarts.set({}, self._supervisor.restarts)
-        writes, claims = self._claim_writer.totals
+        writes, claims = self._claim_writer.write_counts
         metrics.claim_writes.set({}, writes)
         metrics.claims_written.set({}, claims)
 
--- a/tests/test_claim_client.py
+++ b/tests/test_claim_client.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hibiscusstep.claims.client import Claimer, ClaimRequest
+from hibiscusstep.claims.client import ClaimClient, ClaimRequest
 from hibiscusstep.claims.index import ClaimResult
 from hibiscusstep.mailbox import Call, Tick
 from hibiscusstep.membership.mesh import ViewChanged
@@ -35,19 +35,19 @@
 
 
 class _ClaimerHarness:
-    """A claimer among four instances, with its sent messages recorded."""
+    """A claim client among four instances, with its sent messages recorded."""
 
     def __init__(self, lookup=False):
         self.links = _Links()
         self.local = []
-        self.claimer = Claimer("e0", "e0-1", "e0:1", self.links, self.local.append)
+        self.client = ClaimClient("e0", "e0-1", "e0:1", self.links, self.local.append)
         self.names = ["e0", "e1", "e2", "e3"]
         self.request = ClaimRequest(DIGEST, b"body", "attempt", lookup=lookup)
 
     async def send_claim(self):
-        await self.claimer.handle(ViewChanged(_view(*self.names)))
+        await self.client.handle(ViewChanged(_view(*self.names)))
         call = Call(self.request)
-        await self.claimer.handle(call)
+        await self.client.handle(call)
         return call
 
     @property
@@ -60,14 +60,14 @@
     async def remove_instance(self, address):
         """Remove the instance at an address from the view."""
         self.names = [name for name in self.names if f"{name}:1" != address]
-        await self.claimer.handle(ViewChanged(_view(*self.names)))
+        await self.client.handle(ViewChanged(_view(*self.names)))
 
     async def confirm(self):
         _address, claim = (self.links.sent or [("", self.local[-1].message)])[-1]
         reply = ClaimReply(
             claim.number, ClaimResult.CONFIRMED, "e0", "e0-1", "attempt", b""
         )
-        await self.claimer.handle(Received("w:1", reply))
+        await self.client.handle(Received("w:1", reply))
 
 
 class TestWriterLost:
@@ -88,17 +88,15 @@
     async def test_the_claim_is_resent_to_a_restarted_writer(self):
         harness = _ClaimerHarness()
         await harness.send_claim()
-        await harness.claimer.handle(
-            ViewChanged(_view(*harness.names, incarnation="2"))
-        )
+        await harness.client.handle(ViewChanged(_view(*harness.names, incarnation="2")))
         assert harness.addresses == [harness.addresses[0]] * 2
 
     async def test_the_claim_is_resent_after_a_lost_connection(self):
         harness = _ClaimerHarness()
         await harness.send_claim()
-        await harness.claimer.handle(LinkLost(harness.addresses[0]))
+        await harness.client.handle(LinkLost(harness.addresses[0]))
         assert len(harness.addresses) == 1
-        await harness.claimer.handle(Tick())
+        await harness.client.handle(Tick())
         assert harness.addresses == [harness.addresses[0]] * 2
 
     async def test_the_resent_claim_is_identical(self):
@@ -121,21 +119,21 @@
     async def test_gets_the_claim_once(self):
         harness = _ClaimerHarness()
         await harness.send_claim()
-        await harness.claimer.handle(ViewChanged(_view(*harness.names)))
-        await harness.claimer.handle(Tick())
-        await harness.claimer.handle(LinkLost("another:1"))
-        await harness.claimer.handle(Tick())
+        await harness.client.handle(ViewChanged(_view(*harness.names)))
+        await harness.client.handle(Tick())
+        await harness.client.handle(LinkLost("another:1"))
+        await harness.client.handle(Tick())
         assert len(harness.addresses) == 1
 
     async def test_a_claim_that_gets_no_answer_is_unavailable(self):
         harness = _ClaimerHarness()
         call = await harness.send_claim()
-        harness.claimer._settings = harness.claimer._settings.model_copy(
+        harness.client._settings = harness.client._settings.model_copy(
             update={"timeout": -1.0}
         )
         late = Call(harness.request)
-        await harness.claimer.handle(late)
-        await harness.claimer.handle(Tick())
+        await harness.client.handle(late)
+        await harness.client.handle(Tick())
         assert late.answer.result().result is ClaimResult.UNAVAILABLE
         assert not call.answer.done()
         await asyncio.sleep(0)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -10,7 +10,7 @@
 from hibiscusstep.claims import shard as shard_module
 from hibiscusstep.claims.index import ClaimIndex, ClaimResult
 from hibiscusstep.claims.records import ClaimHead, ClaimRecord, shard_of
-from hibiscusstep.claims.shard import Pending, ShardWriter
+from hibiscusstep.claims.shard import PendingRequest, ShardWriter
 from hibiscusstep.stores.memory import MemoryPlatform
 
 
@@ -39,7 +39,7 @@
     async def claim(self, writer, key, attempt, timeout=5.0, **fields):
         loop = asyncio.get_running_loop()
         answer = loop.create_future()
-        pending = Pending(
+        pending = PendingRequest(
             fields.pop("record", None) or record(key, attempt),
             fields.pop("supersedes", ""),
             fields.pop("lookup", False),
@@ -148,7 +148,7 @@
 class TestSealing:
     @pytest.fixture(autouse=True)
     def small_segments(self, monkeypatch, short_pauses):
-        monkeypatch.setattr(shard_module, "SEAL_AT", 4)
+        monkeypatch.setattr(shard_module, "SEAL_AFTER_RECORDS", 4)
 
     async def test_a_new_writer_loads_all_claims_with_few_reads(self, group):
         for number in range(100):
@@ -202,9 +202,9 @@
 
     async def run_steps(self, steps):
         pause, outage = shard_module.RETRY_PAUSE_S, shard_module.OUTAGE_AFTER_S
-        seal = shard_module.SEAL_AT
+        seal = shard_module.SEAL_AFTER_RECORDS
         shard_module.RETRY_PAUSE_S, shard_module.OUTAGE_AFTER_S = 0.001, 0.005
-        shard_module.SEAL_AT = 3
+        shard_module.SEAL_AFTER_RECORDS = 3
         group = WriterGroup(writers=3)
         confirmed = {}
         try:
@@ -228,7 +228,7 @@
         finally:
             await group.close()
             shard_module.RETRY_PAUSE_S, shard_module.OUTAGE_AFTER_S = pause, outage
-            shard_module.SEAL_AT = seal
+            shard_module.SEAL_AFTER_RECORDS = seal
 
 
 class TestIndex:
@@ -236,7 +236,7 @@
         index = ClaimIndex(100)
         newer, older = record("k", "b"), record("k", "a")
         newer.sequence, older.sequence = 2, 1
-        index.take_head(ClaimHead([], [newer]), 1)
+        index.apply_head(ClaimHead([], [newer]), 1)
         index.load_segment("s", [older])
         assert index.latest_record(newer.digest).attempt == "b"
 
