--- a/examples/slopes.py
+++ b/examples/slopes.py
@@ -26,8 +26,8 @@
 from hibiscusstep.configuration.stored import CONFIGURATION_KEY, Stored
 from hibiscusstep.instance import Instance
 from hibiscusstep.log import decision, set_up_logging
-from hibiscusstep.membership.hierarchical import GroupedMembership
-from hibiscusstep.membership.mesh import Membership, OwnState
+from hibiscusstep.membership.hierarchical import HierarchicalMembership
+from hibiscusstep.membership.mesh import MeshMembership, OwnStateChange
 from hibiscusstep.peerlink import Authenticator, PeerLinks
 from hibiscusstep.platform.settings import HEARTBEAT_INTERVAL_S, SUSPECT_AFTER_S
 from hibiscusstep.routing import messages as m
@@ -61,7 +61,7 @@
                 asyncio.create_task(link.run()),
                 asyncio.create_task(membership.run()),
             ]
-            membership.tell(OwnState(version=1, ready=True))
+            membership.tell(OwnStateChange(version=1, ready=True))
         await asyncio.sleep(4.0)
         sent, cpu = sum(link.bytes_sent for link in links), time.process_time()
         await asyncio.sleep(seconds)
@@ -90,12 +90,12 @@
             for number, address in enumerate(addresses)
         ]
         made = [
-            _member(n, address, addresses[:3], platform, GroupedMembership)
+            _member(n, address, addresses[:3], platform, HierarchicalMembership)
             for n, address in enumerate(addresses)
         ]
         tasks = [asyncio.create_task(w.run()) for pair in made for w in pair]
         for _link, worker in made:
-            worker.tell(OwnState(version=1, ready=True))
+            worker.tell(OwnStateChange(version=1, ready=True))
         await asyncio.sleep(6.0)
         before, cpu = [link.bytes_sent for link, _ in made], time.process_time()
         await asyncio.sleep(seconds)
@@ -116,7 +116,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def _member(number, address, seeds, platform=None, kind=Membership):
+def _member(number, address, seeds, platform=None, kind=MeshMembership):
     ports = (1, 2, address.rpartition(":")[2])
     settings = _settings(number, ports, seeds[0].rpartition(":")[2])
     if platform:
--- a/hibiscusstep/claims/client.py
+++ b/hibiscusstep/claims/client.py
@@ -202,7 +202,7 @@
 
     def _find_writer(self, shard: int) -> Member | None:
         """Return the member that writes a shard's claims, or None if there is none."""
-        return self._view.members.get(self._view.claim_writer(shard))
+        return self._view.members.get(self._view.claim_writer_of(shard))
 
     def _send_to_writer(self, shard: int, message) -> Member | None:
         """Send a message to the writer of a shard and return that member."""
--- a/hibiscusstep/claims/writer.py
+++ b/hibiscusstep/claims/writer.py
@@ -151,7 +151,7 @@
         """Free the idle shards that another instance writes now."""
         for number, shard in list(self._shards.items()):
             if (
-                self._view.claim_writer(number) != self._own_name
+                self._view.claim_writer_of(number) != self._own_name
                 and shard.writer.is_idle
             ):
                 shard.task.cancel()
--- a/hibiscusstep/dispatch_client.py
+++ b/hibiscusstep/dispatch_client.py
@@ -328,7 +328,7 @@
 
     def _dispatcher_name(self, pool: str) -> str | None:
         if pool not in self._dispatcher_names:
-            self._dispatcher_names[pool] = self._view.dispatcher(pool)
+            self._dispatcher_names[pool] = self._view.dispatcher_of(pool)
         return self._dispatcher_names[pool]
 
     def _is_standby(self, pool: str, state: _PoolState) -> bool:
--- a/hibiscusstep/dispatcher_host.py
+++ b/hibiscusstep/dispatcher_host.py
@@ -440,7 +440,7 @@
         own_pools = {
             pool
             for pool in self._configuration.pools
-            if self._view.dispatcher(pool) == self._own_name
+            if self._view.dispatcher_of(pool) == self._own_name
         }
         for pool in self._hosted.keys() - own_pools:
             self._stop_poller(self._hosted.pop(pool))
--- a/hibiscusstep/forwarding/bounds.py
+++ b/hibiscusstep/forwarding/bounds.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from hibiscusstep.membership.relays import MESH_SIZE
+from hibiscusstep.membership.relays import MAX_MESH_SIZE
 from hibiscusstep.rollout.budget import ExposureLimits
 from hibiscusstep.routing.switches import ALL_ON, Switches
 
@@ -73,7 +73,7 @@
     heartbeat_interval: float
     suspect_after: float
     capacity: int = 1
-    mesh_size: int = MESH_SIZE
+    mesh_size: int = MAX_MESH_SIZE
     switches: Switches = ALL_ON
     log_style: str = "json"
     log_level: str = "INFO"
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -38,8 +38,8 @@
 from hibiscusstep.forwarding.surroundings import Surroundings
 from hibiscusstep.log import count_dropped_lines, decision, flush_periodically
 from hibiscusstep.mailbox import Worker
-from hibiscusstep.membership.hierarchical import GroupedMembership
-from hibiscusstep.membership.mesh import OwnState, ViewChanged
+from hibiscusstep.membership.hierarchical import HierarchicalMembership
+from hibiscusstep.membership.mesh import OwnStateChange, ViewChanged
 from hibiscusstep.membership.view import View
 from hibiscusstep.peer import (
     Beat,
@@ -226,7 +226,7 @@
         now = asyncio.get_running_loop().time()
         decision("stop", open=self._border.open_requests, grace=grace)
         self._leaving = True
-        self._membership.tell(OwnState(leaving=True))
+        self._membership.tell(OwnStateChange(leaving=True))
         self._border.leave(now, now + grace - STOP_MARGIN_S)
         await asyncio.sleep(min(LISTEN_ON_S, grace / 2))
         try:
@@ -263,7 +263,7 @@
         address, incarnation = settings.peer_address, self._incarnation
         bounds = self._around.bounds
         self._links = PeerLinks(address, settings.peer_key, self._route)
-        self._membership = GroupedMembership(
+        self._membership = HierarchicalMembership(
             settings,
             incarnation,
             self._links,
@@ -453,7 +453,7 @@
         in_force = InForce(self._table.version, b"", plan)
         self._dispatcher_host.tell(in_force)
         self._dispatch_client.tell(in_force)
-        self._membership.tell(OwnState(version=self._table.version))
+        self._membership.tell(OwnStateChange(version=self._table.version))
 
     def _versions_of(self, pool: str, seen: set[str]) -> PlannedVersions:
         book, keeper = self._rollouts.book, self._rollouts
@@ -497,7 +497,7 @@
                 self._spread.tell_followers_all_targets()
             if self._age() >= SETTLE_S and not eligible and self.ready:
                 eligible = True
-                self._membership.tell(OwnState(ready=True))
+                self._membership.tell(OwnStateChange(ready=True))
 
     def _note_suspension(self, seconds: float) -> None:
         if seconds:
--- a/hibiscusstep/forwarding/quarantine.py
+++ b/hibiscusstep/forwarding/quarantine.py
@@ -177,17 +177,17 @@
                     crashes=self._table.weights(fingerprint),
                     told_by=sender,
                 )
-        self._tell(changed, self._neighbours.beyond(sender))
+        self._tell(changed, self._neighbours.forward_addresses(sender))
 
     def _take_view(self, view: View) -> None:
         """Tell new neighbours all that is known."""
         self._view = view
-        new = self._neighbours.take_view(view)
+        new = self._neighbours.apply_view(view)
         self._tell(self._table.states(_now()), new)
 
     def _tell(self, states: list[SuspectState], addresses: Iterable[str]) -> None:
         if states:
-            self._neighbours.tell(SuspectStates(states), addresses)
+            self._neighbours.send(SuspectStates(states), addresses)
 
     def _take_tick(self) -> None:
         now = _now()
--- a/hibiscusstep/forwarding/reach.py
+++ b/hibiscusstep/forwarding/reach.py
@@ -1,6 +1,6 @@
 """hibiscusstep.forwarding.reach: how many instances share a quota, seen and unseen."""
 
-from hibiscusstep.membership.tracker import FORGET_DOUBT_S
+from hibiscusstep.membership.tracker import UNREACHABLE_LIFETIME_S
 from hibiscusstep.membership.view import View
 
 __all__ = ["Reach"]
@@ -8,7 +8,7 @@
 # What an instance was told, at its start, of how many others may live out of its reach
 # counts for so long: like others' own doubt where a living instance told it, for two
 # windows where it only stands on the store's list, which also names some that are gone.
-DOUBT_TOLD_S = FORGET_DOUBT_S
+DOUBT_TOLD_S = UNREACHABLE_LIFETIME_S
 DOUBT_LISTED_S = 16.0
 # By then an instance has met the others that live and can be reached.
 MEET_S = 1.0
--- a/hibiscusstep/forwarding/rollouts.py
+++ b/hibiscusstep/forwarding/rollouts.py
@@ -18,7 +18,7 @@
 from hibiscusstep.mailbox import Tick, Worker
 from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.neighbours import Neighbours
-from hibiscusstep.membership.view import View, rendezvous
+from hibiscusstep.membership.view import View, rendezvous_hash
 from hibiscusstep.peer import Received, RolloutRecord, RolloutRecords, RolloutWrite
 from hibiscusstep.rollout.news import RolloutNews
 from hibiscusstep.rollout.order import RolloutOrder, RolloutState
@@ -268,28 +268,30 @@
         news = list(dict.fromkeys([*changed, *running]))
         if news:
             self._on_change()
-            self._tell(self.book.records(now, news), self._neighbours.beyond(sender))
+            self._tell(
+                self.book.records(now, news), self._neighbours.forward_addresses(sender)
+            )
         for pool in changed:
             self._write_status(pool)
 
     def _take_view(self, view: View, now: float) -> None:
         self._view = view
-        new = self._neighbours.take_view(view)
+        new = self._neighbours.apply_view(view)
         self._tell(self.book.records(now), new)
         self._follow_or_not()
 
     def _tell(self, records: list[RolloutRecord], addresses: Iterable[str]) -> None:
         if records:
-            self._neighbours.tell(RolloutRecords(records), addresses)
+            self._neighbours.send(RolloutRecords(records), addresses)
 
     def _dispatches(self, pool: str) -> bool:
-        return self._view.dispatcher(pool) == self._own_name
+        return self._view.dispatcher_of(pool) == self._own_name
 
     # Following the store.
 
     def _follow_or_not(self) -> None:
         view = self._view
-        chosen = rendezvous(view.eligible, _DUTY, FOLLOWERS)
+        chosen = rendezvous_hash(view.eligible, _DUTY, FOLLOWERS)
         # Before anybody is settled each instance reads only if it has to.
         follows = view.settled and (
             self._own_name in chosen or any(map(self._dispatches, self.book))
@@ -392,7 +394,7 @@
         if state and others and self._dispatches(pool):
             order = known.order
             wish = RolloutWrite(pool, order.revision, order.version, str(state))
-            self._neighbours.tell(wish, [random.choice(others)])
+            self._neighbours.send(wish, [random.choice(others)])
 
     def _write_for_another(self, wish: RolloutWrite) -> None:
         """Write a status for a dispatcher that can't reach the store."""
--- a/hibiscusstep/instance.py
+++ b/hibiscusstep/instance.py
@@ -22,7 +22,7 @@
 from hibiscusstep.idempotency import KeyGuard
 from hibiscusstep.kept_answers import AnswerKeeper
 from hibiscusstep.mailbox import Worker
-from hibiscusstep.membership.mesh import Membership, OwnState, ViewChanged
+from hibiscusstep.membership.mesh import MeshMembership, OwnStateChange, ViewChanged
 from hibiscusstep.membership.view import View
 from hibiscusstep.metrics import Metrics
 from hibiscusstep.operator_api import OperatorApi
@@ -142,7 +142,7 @@
         _LOG.info("draining", extra={"open": self._caller_server.open_requests})
         self._recorder.record(EventKind.SHUTDOWN_ASKED)
         self._draining = True
-        self._membership.tell(OwnState(leaving=True))
+        self._membership.tell(OwnStateChange(leaving=True))
         await asyncio.sleep(READINESS_PAUSE_S)
         self._caller_server.drain()
         try:
@@ -172,7 +172,7 @@
         settings, name = self._settings, self._settings.name
         address = settings.peer_address
         self._links = PeerLinks(address, settings.peer_key, self._deliver)
-        self._membership = Membership(
+        self._membership = MeshMembership(
             settings, self._incarnation, self._links, self._platform, self._on_view
         )
         self._configuration_updater = ConfigurationKeeper(
@@ -301,7 +301,7 @@
             self._claim_client,
         ):
             worker.tell(in_force)
-        self._membership.tell(OwnState(version=in_force.version, ready=True))
+        self._membership.tell(OwnStateChange(version=in_force.version, ready=True))
 
     async def _serve_callers(self) -> None:
         await self._serve(self._caller_server.app(), self._settings.caller_address)
@@ -358,7 +358,7 @@
         }
 
     async def _pool_status(self, pool: str) -> dict:
-        name = self._view.dispatcher(pool)
+        name = self._view.dispatcher_of(pool)
         if name is None:
             return {}
         if name == self._settings.name:
--- a/hibiscusstep/kept_answers.py
+++ b/hibiscusstep/kept_answers.py
@@ -163,7 +163,7 @@
     def _fetch(self, call: Call, fetch: FetchAnswer) -> None:
         if fetch.incarnation == self._incarnation:
             self._reply_when_finished(fetch.attempt, call)
-        elif not self._view.holds(fetch.holder, fetch.incarnation):
+        elif not self._view.has_incarnation(fetch.holder, fetch.incarnation):
             call.reply(KeptAnswer(AnswerState.UNREACHABLE))
         else:
             number = f"{self._incarnation}.{next(self._fetch_numbers)}"
@@ -186,7 +186,7 @@
     def _fail_lost_fetches(self) -> None:
         for number, pending in list(self._pending_fetches.items()):
             fetch = pending.body
-            if not self._view.holds(fetch.holder, fetch.incarnation):
+            if not self._view.has_incarnation(fetch.holder, fetch.incarnation):
                 del self._pending_fetches[number]
                 pending.reply(KeptAnswer(AnswerState.UNREACHABLE))
 
--- a/hibiscusstep/membership/hierarchical.py
+++ b/hibiscusstep/membership/hierarchical.py
@@ -9,10 +9,10 @@
     FULL_HEARTBEAT_TICKS,
     LIST_INTERVAL_S,
     LIST_RETRY_S,
-    Membership,
+    MeshMembership,
     heartbeat_of,
 )
-from hibiscusstep.membership.relays import MESH_SIZE, ParentSelector
+from hibiscusstep.membership.relays import MAX_MESH_SIZE, ParentSelector
 from hibiscusstep.membership.sliding_maximum import SlidingMaximum
 from hibiscusstep.membership.tracker import HeartbeatTracker
 from hibiscusstep.membership.view import View
@@ -20,7 +20,7 @@
 from hibiscusstep.peerlink import LinkLost, Send
 from hibiscusstep.store import InstanceRecord
 
-__all__ = ["GroupedMembership"]
+__all__ = ["HierarchicalMembership"]
 
 # Instances that start together find each other's records only in the second or third
 # reading of the list.
@@ -45,17 +45,17 @@
 SIZE_WINDOW_S = 16.0
 
 
-class GroupedMembership(Membership):
+class HierarchicalMembership(MeshMembership):
     """Membership with heartbeats among relays, and between a relay and its followers.
 
-    A small region is a full mesh, as with `Membership`: all its instances are relays.
+    A small region is a full mesh, as with `MeshMembership`: all its instances are relays.
     An instance contacts others after its first attempt to read the platform's list, or
     after `FIRST_LIST_TIMEOUT_S`.
 
     Parameters
     ----------
     settings, incarnation, links, platform, publish
-        As for `Membership`.
+        As for `MeshMembership`.
     capacity : int
         Capacity of this instance, as in `InstanceRecord`.
     mesh_size : int
@@ -70,7 +70,7 @@
         platform,
         publish,
         capacity: int = 1,
-        mesh_size: int = MESH_SIZE,
+        mesh_size: int = MAX_MESH_SIZE,
     ) -> None:
         super().__init__(settings, incarnation, links, platform, publish)
         self._own = replace(self._own, capacity=capacity)
@@ -98,7 +98,7 @@
         return self._own.relay
 
     async def handle(self, message) -> None:
-        """Handle the messages of `Membership` and lists of relays from the parent."""
+        """Handle the messages of `MeshMembership` and lists of relays from the parent."""
         now = asyncio.get_running_loop().time()
         match message:
             case Received(sender=sender, message=Relays() as relay_list):
--- a/hibiscusstep/membership/mesh.py
+++ b/hibiscusstep/membership/mesh.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from hibiscusstep.configuration.settings import Settings
 
-__all__ = ["Membership", "OwnState", "ViewChanged", "heartbeat_of"]
+__all__ = ["MeshMembership", "OwnStateChange", "ViewChanged", "heartbeat_of"]
 
 _LOG = logging.getLogger(__name__)
 LIST_INTERVAL_S = 30.0
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnState:
+class OwnStateChange:
     """A change of the state sent in own heartbeats; None leaves a value unchanged."""
 
     version: int | None = None
@@ -43,7 +43,7 @@
     view: View
 
 
-class Membership(Worker):
+class MeshMembership(Worker):
     """Membership of a region in which every instance sends heartbeats to all others.
 
     Parameters
@@ -114,7 +114,7 @@
                     self._send_heartbeat(sender, with_known=False, greet=True)
                 # Changes of the view arrive in full heartbeats.
                 return
-            case OwnState():
+            case OwnStateChange():
                 self._update_own_state(message)
             case LinkLost(address=address, refused=True):
                 self._tracker.remove_refused(address, now)
@@ -128,7 +128,7 @@
         """Record a short heartbeat; return False if its sender must be greeted."""
         return self._tracker.record_beat(beat.incarnation, beat.version, now)
 
-    def _update_own_state(self, state: OwnState) -> None:
+    def _update_own_state(self, state: OwnStateChange) -> None:
         changes = {
             name: value
             for name in ("version", "ready", "leaving")
--- a/hibiscusstep/membership/neighbours.py
+++ b/hibiscusstep/membership/neighbours.py
@@ -32,7 +32,7 @@
         """Peer addresses of the neighbours."""
         return list(self._incarnations)
 
-    def take_view(self, view: View) -> list[str]:
+    def apply_view(self, view: View) -> list[str]:
         """Apply a view and return the peer addresses of the new neighbours."""
         before = self._incarnations
         known = (*view.members.values(), *view.followers.values())
@@ -46,13 +46,13 @@
             a for a, current in self._incarnations.items() if before.get(a) != current
         ]
 
-    def beyond(self, sender: str) -> list[str]:
+    def forward_addresses(self, sender: str) -> list[str]:
         """Return the peer addresses that a sender's update must be forwarded to."""
         is_follower = sender in self._followers
         recipients = self._incarnations if is_follower else self._followers
         return [address for address in recipients if address != sender]
 
-    def tell(self, message: object, addresses: Iterable[str]) -> None:
+    def send(self, message: object, addresses: Iterable[str]) -> None:
         """Send a message to some of the neighbours."""
         for address in addresses:
             self._links.tell(Send(address, message))
--- a/hibiscusstep/membership/relays.py
+++ b/hibiscusstep/membership/relays.py
@@ -1,6 +1,6 @@
 """hibiscusstep.membership.relays: which instances are relays, and which one to follow.
 
-Up to `MESH_SIZE` instances form a full mesh. In a larger region, a few instances of
+Up to `MAX_MESH_SIZE` instances form a full mesh. In a larger region, a few instances of
 each data centre are relays: these form a mesh, and every other instance follows one of
 them. The messages and memory of an instance then grow with the number of relays instead
 of instances.
@@ -11,14 +11,14 @@
 
 import xxhash
 
-from hibiscusstep.membership.view import rendezvous
+from hibiscusstep.membership.view import rendezvous_hash
 from hibiscusstep.store import InstanceRecord
 
-__all__ = ["MESH_SIZE", "ParentSelector", "choose_relays"]
+__all__ = ["MAX_MESH_SIZE", "ParentSelector", "choose_relays"]
 
 # A heartbeat takes about 40 us of processor time: twelve instances that send each other
 # four a second spend 0.4 % of a core on them.
-MESH_SIZE = 12
+MAX_MESH_SIZE = 12
 # If one of the two is lost, its followers still have a relay in their data centre.
 RELAYS_PER_DATA_CENTRE = 2
 # A relay that refused a connection or timed out is not followed again within this time,
@@ -77,7 +77,7 @@
         own: InstanceRecord,
         seeds: Iterable[str],
         silence_limit: float,
-        mesh_size: int = MESH_SIZE,
+        mesh_size: int = MAX_MESH_SIZE,
     ) -> None:
         self._own = own
         self._seeds = tuple(seeds)
@@ -162,7 +162,9 @@
         others = [r for r in self._records.values() if r.name != self._own.name]
         if not others:
             return self._first_allowed(self._seeds, now)
-        ranking = rendezvous([record.name for record in others], self._own.name, None)
+        ranking = rendezvous_hash(
+            [record.name for record in others], self._own.name, None
+        )
         positions = {name: place for place, name in enumerate(ranking)}
 
         def sort_key(record: InstanceRecord):
--- a/hibiscusstep/membership/tracker.py
+++ b/hibiscusstep/membership/tracker.py
@@ -8,7 +8,7 @@
 
 __all__ = ["HeartbeatTracker"]
 
-FORGET_DOUBT_S = 60.0
+UNREACHABLE_LIFETIME_S = 60.0
 
 
 @dataclass(slots=True)
@@ -113,7 +113,7 @@
                 self.remove(name)
                 self._silent_since[name] = now
         for name, since in list(self._silent_since.items()):
-            if now - since > FORGET_DOUBT_S:
+            if now - since > UNREACHABLE_LIFETIME_S:
                 del self._silent_since[name]
 
     @property
--- a/hibiscusstep/membership/view.py
+++ b/hibiscusstep/membership/view.py
@@ -7,7 +7,7 @@
 
 from hibiscusstep.peer import Heartbeat
 
-__all__ = ["Member", "View", "rendezvous"]
+__all__ = ["Member", "View", "rendezvous_hash"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
 _HASH_SPACE = 1 << 64
 
 
-def rendezvous(names, key: str, count: int | None = 1, weights=None) -> list[str]:
+def rendezvous_hash(names, key: str, count: int | None = 1, weights=None) -> list[str]:
     """Return the `count` best names for a key by rendezvous hashing.
 
     The removal of a name moves only the keys that were assigned to it.
@@ -165,27 +165,29 @@
         known = (*self.members.values(), *self.followers.values())
         return [m.peer_address for m in known if m.peer_address != own]
 
-    def dispatcher(self, pool: str) -> str | None:
+    def dispatcher_of(self, pool: str) -> str | None:
         """Return the name of the instance that dispatches a pool."""
         weights = {name: self.members[name].capacity for name in self.members}
-        return next(iter(rendezvous(self.eligible, f"pool {pool}", 1, weights)), None)
+        return next(
+            iter(rendezvous_hash(self.eligible, f"pool {pool}", 1, weights)), None
+        )
 
-    def claim_writer(self, shard: int) -> str | None:
+    def claim_writer_of(self, shard: int) -> str | None:
         """Return the name of the instance that writes a shard of claims."""
-        return next(iter(rendezvous(self.eligible, f"claims {shard}")), None)
+        return next(iter(rendezvous_hash(self.eligible, f"claims {shard}")), None)
 
     def watchers(self, count: int) -> list[str]:
         """Return the names of the instances that watch the platform."""
-        return rendezvous(self.members, "configuration", count)
+        return rendezvous_hash(self.members, "configuration", count)
 
     def has_duty(self, duty: str, address: str) -> bool:
         """Return whether the instance at a peer address is the relay with a duty."""
-        holders = [self.members[name] for name in rendezvous(self.eligible, duty)]
+        holders = [self.members[name] for name in rendezvous_hash(self.eligible, duty)]
         return any(
             holder.peer_address == address and holder.relay for holder in holders
         )
 
-    def holds(self, name: str, incarnation: str) -> bool:
+    def has_incarnation(self, name: str, incarnation: str) -> bool:
         """Return whether the process with this incarnation is alive."""
         member = self.members.get(name)
         return member is not None and member.incarnation == incarnation
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -299,7 +299,7 @@
 
     def dispatcher(self, pool):
         """Return the name of the instance that dispatches a pool."""
-        return self._live()[0].view.dispatcher(pool)
+        return self._live()[0].view.dispatcher_of(pool)
 
     def _live(self):
         return list(self.entries.values())
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -56,7 +56,7 @@
 
 async def kill_claim_writer(cluster):
     shard = shard_of(digest(), 2)
-    name = next(iter(cluster.entries.values())).view.claim_writer(shard)
+    name = next(iter(cluster.entries.values())).view.claim_writer_of(shard)
     if name in cluster.entries:
         await cluster.kill(name)
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -731,7 +731,7 @@
                 await asyncio.sleep(0.005)
         assert second.ready
         assert not first.view.members["n1"].ready
-        assert first.view.dispatcher("pool-a") == "n0"
+        assert first.view.dispatcher_of("pool-a") == "n0"
         async with asyncio.timeout(BOUND_S):
             while not first.view.members["n1"].ready:
                 await asyncio.sleep(0.02)
--- a/tests/test_hierarchical.py
+++ b/tests/test_hierarchical.py
@@ -13,7 +13,7 @@
 from hibiscusstep.forwarding.bounds import InstanceSettings
 from hibiscusstep.forwarding.instance import ForwardingInstance
 from hibiscusstep.mailbox import Tick
-from hibiscusstep.membership.hierarchical import STARTUP_S, GroupedMembership
+from hibiscusstep.membership.hierarchical import STARTUP_S, HierarchicalMembership
 from hibiscusstep.peer import Beat, Heartbeat, Received
 from hibiscusstep.peerlink import LinkLost
 from hibiscusstep.platform.surroundings import load_surroundings
@@ -168,7 +168,7 @@
             "n0", "z", "r", "", "", OWN_ADDRESS, "", (), 0.25, 1.2, 100, MESH_SIZE
         )
         links = _Links()
-        relay = GroupedMembership(
+        relay = HierarchicalMembership(
             settings, "inc0", links, _Directory(), lambda _view: None, 100, MESH_SIZE
         )
         relay.sent = links.sent
@@ -223,7 +223,7 @@
             "n0", "z", "r", "", "", OWN_ADDRESS, "", (), 0.25, 1.2, 100, MESH_SIZE
         )
         views = []
-        instance = GroupedMembership(
+        instance = HierarchicalMembership(
             settings, "inc0", _Links(), _Directory(), views.append, 100, MESH_SIZE
         )
         await instance.start()
@@ -281,7 +281,7 @@
             settings = InstanceSettings(
                 name, "z", "r", "", "", address, "", (), 0.25, 1.0, 100, MESH_SIZE
             )
-            region[address] = GroupedMembership(
+            region[address] = HierarchicalMembership(
                 settings, f"inc-{name}", Links(address), Listed(), lambda _v: None
             )
         for instance in region.values():
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,7 +8,7 @@
 
 from hibiscusstep import codec, peer
 from hibiscusstep.membership.tracker import HeartbeatTracker
-from hibiscusstep.membership.view import Member, rendezvous
+from hibiscusstep.membership.view import Member, rendezvous_hash
 from hibiscusstep.peer import MESSAGES, Heartbeat, Received
 from hibiscusstep.peerlink import LinkLost, PeerLinks, Send
 
@@ -56,7 +56,7 @@
         tracker.record_heartbeat(heartbeat(incarnation="i2"), 0.1)
         tracker.record_heartbeat(heartbeat(), 0.2)
         view = tracker.view(OWN)
-        assert view.holds("x", "i2") and not view.holds("x", "i1")
+        assert view.has_incarnation("x", "i2") and not view.has_incarnation("x", "i1")
 
     def test_a_beat_refreshes_a_member_and_reports_an_unknown_sender(self):
         tracker = HeartbeatTracker("own", 3.0)
@@ -78,9 +78,9 @@
 class TestRendezvous:
     @given(st.sets(st.text(min_size=1), min_size=2, max_size=20), st.text())
     def test_removing_a_name_moves_only_its_keys(self, names, key):
-        first, second = rendezvous(names, key, 2)
-        assert rendezvous(names - {first}, key) == [second]
-        assert rendezvous(names - {second}, key) == [first]
+        first, second = rendezvous_hash(names, key, 2)
+        assert rendezvous_hash(names - {first}, key) == [second]
+        assert rendezvous_hash(names - {second}, key) == [first]
 
 
 class TestPeerFrames:
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -7,7 +7,7 @@
 
 from hibiscusstep.forwarding.bounds import InstanceSettings
 from hibiscusstep.mailbox import Tick
-from hibiscusstep.membership.hierarchical import GroupedMembership
+from hibiscusstep.membership.hierarchical import HierarchicalMembership
 from hibiscusstep.membership.relays import ParentSelector, choose_relays
 from hibiscusstep.peer import Heartbeat, Received
 from hibiscusstep.store import InstanceRecord
@@ -106,7 +106,7 @@
         )
         links, platform = _Links(), MemoryPlatform()
         platform.records = RECORDS
-        worker = GroupedMembership(
+        worker = HierarchicalMembership(
             settings, "inc0", links, platform, lambda _changed: None, 5, 5
         )
         await worker.start()
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -140,7 +140,7 @@
         site.begin_calls()
         site.store.order(POOL, "v2", 8.0)
         await site.until(lambda: site.ran["v2"] >= 10)
-        dispatcher = site.instances[0].view.dispatcher(POOL)
+        dispatcher = site.instances[0].view.dispatcher_of(POOL)
         await site.end_instance(int(dispatcher[1:]))
         assert (await site.until_status("completed"))["To"] == "v2"
 
@@ -207,7 +207,7 @@
         await site.until_status("running")
         site.store.down = True
         dispatcher = next(
-            i for i in site.instances if i.view.dispatcher(POOL) == i._settings.name
+            i for i in site.instances if i.view.dispatcher_of(POOL) == i._settings.name
         )
         await site.until(lambda: dispatcher._rollouts.book[POOL].is_rejected)
         got = site.ran["v2"]
@@ -318,9 +318,9 @@
         site.begin_calls()
         site.store.order(POOL, "v2", 30.0)
         await site.until(lambda: site.ran["v2"] >= 12)
-        others = [i for i in site.instances if i.view.dispatcher(POOL) != _name(i)]
+        others = [i for i in site.instances if i.view.dispatcher_of(POOL) != _name(i)]
         await site.until(lambda: all(_planned(i).progress.exposed >= 8 for i in others))
-        number = int(site.instances[0].view.dispatcher(POOL)[1:])
+        number = int(site.instances[0].view.dispatcher_of(POOL)[1:])
         await site.end_instance(number)
         await site.until(
             lambda: any(i._dispatcher_host.rollout_summaries for i in site.running)
