--- a/examples/slopes.py
+++ b/examples/slopes.py
@@ -23,7 +23,7 @@
 from hibiscusstep.claims.shard import PendingRequest, ShardWriter
 from hibiscusstep.configuration.models import load_configuration
 from hibiscusstep.configuration.settings import Settings
-from hibiscusstep.configuration.stored import CONFIGURATION_KEY, Stored
+from hibiscusstep.configuration.stored import CONFIGURATION_KEY, StoredConfiguration
 from hibiscusstep.instance import Instance
 from hibiscusstep.log import decision, set_up_logging
 from hibiscusstep.membership.hierarchical import HierarchicalMembership
@@ -85,7 +85,7 @@
     for count in counts:
         addresses = [f"127.0.0.1:{port}" for port in free_ports(count)]
         platform = MemoryPlatform()
-        platform.records = [
+        platform.instance_records = [
             InstanceRecord(f"n{number}", f"hall-{number % centres}", address)
             for number, address in enumerate(addresses)
         ]
@@ -122,8 +122,8 @@
     if platform:
         settings = settings.model_copy(
             update={
-                "name": platform.records[number].name,
-                "data_centre": platform.records[number].data_centre,
+                "name": platform.instance_records[number].name,
+                "data_centre": platform.instance_records[number].data_centre,
                 "heartbeat_interval": HEARTBEAT_INTERVAL_S,
                 "suspect_after": SUSPECT_AFTER_S,
             }
@@ -304,10 +304,12 @@
     for customers, targets in ((5, 50), (100, 300), (390, 1100)):
         files = _small_files(pool_configuration(targets, customers))
         begun = time.process_time()
-        Stored(files=files).load()
+        StoredConfiguration(files=files).load()
         first = time.process_time() - begun
         name = next(iter(files))
-        changed = Stored(files={**files, name: files[name] + " // changed"})
+        changed = StoredConfiguration(
+            files={**files, name: files[name] + " // changed"}
+        )
         begun = time.process_time()
         changed.load()
         again = time.process_time() - begun
@@ -361,7 +363,7 @@
 
 
 async def _put(platform, data, version):
-    value = Stored(files={"a.json": json.dumps(data)}).to_bytes()
+    value = StoredConfiguration(files={"a.json": json.dumps(data)}).to_bytes()
     return (await platform.put(CONFIGURATION_KEY, value, version)).unwrap()
 
 
--- a/hibiscusstep/admission.py
+++ b/hibiscusstep/admission.py
@@ -123,7 +123,7 @@
         401 if there is no such customer.
     """
     scheme, _, key = head.authorization.partition(" ")
-    customer = configuration.by_key_hash.get(hash_key(key.strip()))
+    customer = configuration.customer_by_key_hash.get(hash_key(key.strip()))
     if scheme.lower() != "bearer" or customer is None:
         raise Problem(401, "unauthorized", "Present a customer's key as Bearer token.")
     return customer
@@ -142,7 +142,7 @@
         if head.method != "POST":
             raise Problem(405, "method-not-allowed", "Use POST.")
         return None
-    for prefix, name in configuration.by_path:
+    for prefix, name in configuration.routes_by_path_prefix:
         if path.startswith(prefix):
             return name
     raise Problem(404, "no-route", f"No route serves the path {path[:200]}.")
@@ -166,7 +166,7 @@
     chat = None
     if route_name is None:
         chat = _parse_chat(body)
-        route_name = configuration.by_model.get(chat.model)
+        route_name = configuration.route_by_model.get(chat.model)
         if route_name is None:
             raise Problem(404, "no-route", f"No route serves the model {chat.model!r}.")
     route = configuration.routes[route_name]
--- a/hibiscusstep/caller_server.py
+++ b/hibiscusstep/caller_server.py
@@ -6,7 +6,7 @@
 
 from hibiscusstep.admission import RequestHead, admit, authenticate, find_route
 from hibiscusstep.answer_sink import AnswerSink
-from hibiscusstep.configuration.in_force import InForce
+from hibiscusstep.configuration.in_force import ConfigurationInForce
 from hibiscusstep.delivery import Delivery, DeliveryServices
 from hibiscusstep.metrics import Metrics
 from hibiscusstep.problem import Outcome, Problem
@@ -43,7 +43,7 @@
         self._body_timeout = body_timeout
         self._max_open = max_open
         self._being_admitted = 0
-        self._in_force = InForce()
+        self._in_force = ConfigurationInForce()
         self._draining = False
         self._open_tasks: set[asyncio.Task] = set()
         self._idle = asyncio.Event()
@@ -54,7 +54,7 @@
         """Number of requests whose answer is not complete."""
         return len(self._open_tasks)
 
-    def set_configuration(self, in_force: InForce) -> None:
+    def set_configuration(self, in_force: ConfigurationInForce) -> None:
         """Use a configuration for all later requests."""
         self._in_force = in_force
 
--- a/hibiscusstep/claims/client.py
+++ b/hibiscusstep/claims/client.py
@@ -7,7 +7,7 @@
 
 from hibiscusstep.claims.index import ClaimResult, ClaimVerdict
 from hibiscusstep.claims.records import ClaimRecord, shard_of
-from hibiscusstep.configuration.in_force import InForce
+from hibiscusstep.configuration.in_force import ConfigurationInForce
 from hibiscusstep.configuration.models import ClaimSettings
 from hibiscusstep.mailbox import Call, Tick, Worker
 from hibiscusstep.membership.mesh import ViewChanged
@@ -128,7 +128,7 @@
                 self._resend_claims()
             case LinkLost(address=address):
                 self._mark_lost(address)
-            case InForce(configuration=configuration):
+            case ConfigurationInForce(configuration=configuration):
                 self._settings = configuration.claims
             case Tick():
                 self._expire()
--- a/hibiscusstep/claims/writer.py
+++ b/hibiscusstep/claims/writer.py
@@ -8,7 +8,7 @@
 from hibiscusstep.claims.index import ClaimVerdict
 from hibiscusstep.claims.records import ClaimRecord
 from hibiscusstep.claims.shard import PendingRequest, ShardWriter
-from hibiscusstep.configuration.in_force import InForce
+from hibiscusstep.configuration.in_force import ConfigurationInForce
 from hibiscusstep.configuration.models import ClaimSettings
 from hibiscusstep.mailbox import Tick, Worker
 from hibiscusstep.membership.mesh import ViewChanged
@@ -86,7 +86,7 @@
             case ViewChanged(view=view):
                 self._view = view
                 self._drop_reassigned_shards()
-            case InForce(configuration=configuration):
+            case ConfigurationInForce(configuration=configuration):
                 self._settings = configuration.claims
             case Tick():
                 now = asyncio.get_running_loop().time()
--- a/hibiscusstep/cmdline/client.py
+++ b/hibiscusstep/cmdline/client.py
@@ -12,8 +12,8 @@
 from hibiscusstep.cmdline.common import EXIT_CODES, one_line_errors, run
 from hibiscusstep.configuration.change import (
     apply_folder,
-    mark_drained,
     read_stored,
+    set_drained,
     write_folder,
 )
 from hibiscusstep.configuration.folder import read_folder
@@ -194,7 +194,7 @@
 
 def _mark(target, drained, url, entry, key, author, timeout, as_json) -> None:
     async def change(platform):
-        return await mark_drained(platform, target, drained, author)
+        return await set_drained(platform, target, drained, author)
 
     run(_change_and_wait(change, url, entry, key, timeout, as_json))
 
--- a/hibiscusstep/configuration/change.py
+++ b/hibiscusstep/configuration/change.py
@@ -11,7 +11,7 @@
 import orjson
 
 from hibiscusstep.configuration.folder import FILE_SUFFIX, read_folder
-from hibiscusstep.configuration.stored import CONFIGURATION_KEY, Stored
+from hibiscusstep.configuration.stored import CONFIGURATION_KEY, StoredConfiguration
 from hibiscusstep.errors import (
     ConfigurationError,
     HibiscusstepError,
@@ -22,13 +22,13 @@
 
 __all__ = [
     "AppliedChange",
-    "Base",
     "ChangeConflict",
+    "FolderBase",
     "apply_change",
     "apply_folder",
     "file_changes",
-    "mark_drained",
     "read_stored",
+    "set_drained",
     "write_folder",
 ]
 
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Base:
+class FolderBase:
     """The accepted configuration that a folder was last synchronized with.
 
     Parameters
@@ -73,7 +73,7 @@
     digests: dict | None = None
 
     @classmethod
-    def read(cls, folder: Path) -> "Base":
+    def read(cls, folder: Path) -> "FolderBase":
         """Return the base of a folder, or an empty one for a new folder."""
         try:
             data = orjson.loads((folder / BASE_FILE_NAME).read_bytes())
@@ -82,7 +82,7 @@
             return cls(0, {})
 
     @classmethod
-    def from_files(cls, version: int, files: dict[str, str]) -> "Base":
+    def from_files(cls, version: int, files: dict[str, str]) -> "FolderBase":
         """Return the base for the files of a version."""
         return cls(version, {name: _digest(text) for name, text in files.items()})
 
@@ -92,7 +92,7 @@
         (folder / BASE_FILE_NAME).write_bytes(orjson.dumps(data))
 
 
-async def read_stored(platform: Platform) -> tuple[int, Stored]:
+async def read_stored(platform: Platform) -> tuple[int, StoredConfiguration]:
     """Return the accepted configuration and its version, 0 if there is none.
 
     Raises
@@ -103,13 +103,15 @@
     found = await platform.get(CONFIGURATION_KEY)
     if found.is_ok():
         item = found.unwrap()
-        return item.version, Stored.parse(item.value)
+        return item.version, StoredConfiguration.parse(item.value)
     if isinstance(found.unwrap_err(), PlatformNotFound):
-        return 0, Stored()
+        return 0, StoredConfiguration()
     raise found.unwrap_err()
 
 
-def file_changes(folder_files: dict[str, str], stored: Stored, base: Base) -> dict:
+def file_changes(
+    folder_files: dict[str, str], stored: StoredConfiguration, base: FolderBase
+) -> dict:
     """Return the files changed since the base: name to text, None if removed.
 
     Raises
@@ -163,9 +165,9 @@
         Nothing was changed, unless the message says that the outcome is unknown.
     """
     files = read_folder(folder)
-    base = Base.read(folder)
+    base = FolderBase.read(folder)
 
-    def edit(stored: Stored) -> Stored:
+    def edit(stored: StoredConfiguration) -> StoredConfiguration:
         changed = file_changes(files, stored, base)
         merged = {**stored.files, **{n: t for n, t in changed.items() if t is not None}}
         remaining = {n: t for n, t in merged.items() if changed.get(n, t) is not None}
@@ -174,13 +176,13 @@
 
     applied = await apply_change(platform, edit, author, log=log)
     _version, stored = await read_stored(platform)
-    Base.from_files(applied.version, {n: stored.files.get(n, "") for n in files}).write(
-        folder
-    )
+    FolderBase.from_files(
+        applied.version, {n: stored.files.get(n, "") for n in files}
+    ).write(folder)
     return applied
 
 
-async def mark_drained(
+async def set_drained(
     platform: Platform, target: str, drained: bool, author: str = ""
 ) -> AppliedChange:
     """Mark a target as drained, so that it gets no new work, or remove the mark.
@@ -191,7 +193,7 @@
         If there is no such target.
     """
 
-    def edit(stored: Stored) -> Stored:
+    def edit(stored: StoredConfiguration) -> StoredConfiguration:
         pools = stored.load().pools.values()
         target_names = sorted(name for pool in pools for name in pool.targets)
         if target not in target_names:
@@ -208,7 +210,7 @@
 
 async def apply_change(
     platform: Platform,
-    edit: Callable[[Stored], Stored],
+    edit: Callable[[StoredConfiguration], StoredConfiguration],
     author: str,
     *,
     log: Callable,
@@ -240,7 +242,9 @@
     raise ChangeConflict("the configuration keeps changing; try again", step="apply")
 
 
-async def _write(platform: Platform, stored: Stored, version: int, log) -> int | None:
+async def _write(
+    platform: Platform, stored: StoredConfiguration, version: int, log
+) -> int | None:
     """Return the version written, or None if another change was written first."""
     value = stored.to_bytes()
     last_error = None
@@ -262,12 +266,14 @@
     )
 
 
-async def _read_until_answered(platform: Platform, log) -> tuple[int, Stored]:
+async def _read_until_answered(
+    platform: Platform, log
+) -> tuple[int, StoredConfiguration]:
     for _attempt in range(MAX_ATTEMPTS):
         found = await platform.get(CONFIGURATION_KEY)
         if found.is_ok():
             item = found.unwrap()
-            return item.version, Stored.parse(item.value)
+            return item.version, StoredConfiguration.parse(item.value)
         log("no answer from the platform; reading again")
         await asyncio.sleep(RETRY_PAUSE_S)
     raise HibiscusstepError("outcome unknown; run apply again", step="apply")
@@ -281,7 +287,7 @@
     return hashlib.blake2b(text.encode(), digest_size=12).hexdigest()
 
 
-def write_folder(folder: Path, version: int, stored: Stored) -> None:
+def write_folder(folder: Path, version: int, stored: StoredConfiguration) -> None:
     """Write the accepted configuration to a folder and remove other JSON files."""
     folder.mkdir(parents=True, exist_ok=True)
     for path in folder.glob(f"*{FILE_SUFFIX}"):
@@ -289,4 +295,4 @@
             path.unlink()
     for name, text in stored.files.items():
         (folder / name).write_text(text, "utf-8")
-    Base.from_files(version, stored.files).write(folder)
+    FolderBase.from_files(version, stored.files).write(folder)
--- a/hibiscusstep/configuration/in_force.py
+++ b/hibiscusstep/configuration/in_force.py
@@ -8,11 +8,11 @@
 if TYPE_CHECKING:
     from hibiscusstep.configuration.models import Configuration
 
-__all__ = ["InForce"]
+__all__ = ["ConfigurationInForce"]
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
+class ConfigurationInForce:
     """A version of the configuration that is in force on an instance.
 
     Parameters
--- a/hibiscusstep/configuration/models.py
+++ b/hibiscusstep/configuration/models.py
@@ -177,7 +177,7 @@
     claims: ClaimSettings = Field(ClaimSettings(), description="Keeping of keys.")
 
     @cached_property
-    def by_key_hash(self) -> dict[str, str]:
+    def customer_by_key_hash(self) -> dict[str, str]:
         """Customer names by key hash."""
         return {
             key_hash: name
@@ -186,12 +186,12 @@
         }
 
     @cached_property
-    def by_model(self) -> dict[str, str]:
+    def route_by_model(self) -> dict[str, str]:
         """Route names by model."""
         return {route.model: name for name, route in self.routes.items() if route.model}
 
     @cached_property
-    def by_path(self) -> list[tuple[str, str]]:
+    def routes_by_path_prefix(self) -> list[tuple[str, str]]:
         """Pairs of path prefix and route name, longest prefix first."""
         pairs = (
             (route.path, name) for name, route in self.routes.items() if route.path
@@ -215,7 +215,7 @@
                 key="claims.shards",
             )
 
-    def rule(self, tier: str) -> SheddingRule:
+    def shedding_rule(self, tier: str) -> SheddingRule:
         """Return the shedding rule of a tier, or the default rule."""
         return self.shedding.get(tier, _DEFAULT_SHEDDING_RULE)
 
@@ -337,9 +337,11 @@
     )
     for higher, lower in itertools.combinations(ordered, 2):
         for permission in ("may_be_shed", "may_be_stopped"):
-            allowed_for_higher = getattr(configuration.rule(higher), permission)
+            allowed_for_higher = getattr(
+                configuration.shedding_rule(higher), permission
+            )
             if allowed_for_higher and not getattr(
-                configuration.rule(lower), permission
+                configuration.shedding_rule(lower), permission
             ):
                 yield (
                     f"shedding.{lower}.{permission}",
--- a/hibiscusstep/configuration/stored.py
+++ b/hibiscusstep/configuration/stored.py
@@ -6,12 +6,12 @@
 from hibiscusstep.configuration.models import Configuration, load_configuration
 from hibiscusstep.errors import ConfigurationError
 
-__all__ = ["CONFIGURATION_KEY", "Stored"]
+__all__ = ["CONFIGURATION_KEY", "StoredConfiguration"]
 
 CONFIGURATION_KEY = "hibiscusstep/configuration"
 
 
-class Stored(BaseModel):
+class StoredConfiguration(BaseModel):
     """All configuration files in one object, so that a change is atomic.
 
     Parameters
@@ -35,7 +35,7 @@
     changed: dict[str, str] = {}
 
     @classmethod
-    def parse(cls, value: bytes) -> "Stored":
+    def parse(cls, value: bytes) -> "StoredConfiguration":
         """Return the object that is encoded in bytes.
 
         Raises
--- a/hibiscusstep/configuration/updater.py
+++ b/hibiscusstep/configuration/updater.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.configuration.stored import CONFIGURATION_KEY, Stored
+from hibiscusstep.configuration.in_force import ConfigurationInForce
+from hibiscusstep.configuration.stored import CONFIGURATION_KEY, StoredConfiguration
 from hibiscusstep.errors import ConfigurationError, PlatformNotFound
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Tick, Worker
@@ -17,7 +17,7 @@
 from hibiscusstep.peerlink import Send
 from hibiscusstep.store import Platform
 
-__all__ = ["ConfigurationKeeper"]
+__all__ = ["ConfigurationUpdater"]
 
 _LOG = logging.getLogger(__name__)
 TICK_S = 0.25
@@ -33,7 +33,7 @@
     value: bytes
 
 
-class ConfigurationKeeper(Worker):
+class ConfigurationUpdater(Worker):
     """Worker that fetches the configuration; the version in force never decreases.
 
     A few instances watch the platform (a waiting watch is a counted call). The others
@@ -50,7 +50,7 @@
         Stores the configuration.
     links : Worker
         Sends messages to peers.
-    publish : callable of InForce
+    publish : callable of ConfigurationInForce
         Called with each new version.
     """
 
@@ -60,7 +60,7 @@
         watchers: int,
         platform: Platform,
         links: Worker,
-        publish: Callable[[InForce], None],
+        publish: Callable[[ConfigurationInForce], None],
     ) -> None:
         super().__init__("configuration-keeper", tick_interval=TICK_S)
         self._own_name = name
@@ -69,7 +69,7 @@
         self._links = links
         self._publish = publish
         self._view = View()
-        self._in_force = InForce()
+        self._in_force = ConfigurationInForce()
         self._rejected: set[int] = set()
         self._watch: asyncio.Task | None = None
         self._random = random.Random(name)
@@ -87,14 +87,14 @@
             case ViewChanged(view=view):
                 self._view = view
             case _Seen():
-                self._take(message.version, message.value)
+                self._apply_version(message.version, message.value)
             case Received(sender=sender, message=ConfigurationAsk(number=number)):
                 reply = ConfigurationReply(
                     number, self._in_force.version, self._in_force.value
                 )
                 self._links.tell(Send(sender, reply))
             case Received(message=ConfigurationReply(version=version, value=value)):
-                self._take(version, value)
+                self._apply_version(version, value)
 
     def _check_for_updates(self) -> None:
         newest_peer = max(
@@ -132,11 +132,11 @@
     def _jitter_factor(self) -> float:
         return 0.5 + self._random.random()
 
-    def _take(self, version: int, value: bytes) -> None:
+    def _apply_version(self, version: int, value: bytes) -> None:
         if version <= self._in_force.version or version in self._rejected:
             return
         try:
-            configuration = Stored.parse(value).load()
+            configuration = StoredConfiguration.parse(value).load()
             if self._in_force.configuration:
                 self._in_force.configuration.check_successor(configuration)
         except ConfigurationError as error:
@@ -145,6 +145,6 @@
                 "configuration refused", extra={"version": version, "error": str(error)}
             )
             return
-        self._in_force = InForce(version, value, configuration)
+        self._in_force = ConfigurationInForce(version, value, configuration)
         decision("configuration-in-force", version=version)
         self._publish(self._in_force)
--- a/hibiscusstep/delivery.py
+++ b/hibiscusstep/delivery.py
@@ -229,7 +229,7 @@
 
     async def _request_grant(self) -> Granted:
         admitted = self._admitted
-        rule = self._configuration.rule(admitted.tier)
+        rule = self._configuration.shedding_rule(admitted.tier)
         grant_request = GrantRequest(
             admitted.route.pool,
             self._work_info(),
--- a/hibiscusstep/dispatch_client.py
+++ b/hibiscusstep/dispatch_client.py
@@ -4,7 +4,7 @@
 import itertools
 from dataclasses import dataclass, field, replace
 
-from hibiscusstep.configuration.in_force import InForce
+from hibiscusstep.configuration.in_force import ConfigurationInForce
 from hibiscusstep.grant_messages import (
     FirstTokenReceived,
     Granted,
@@ -157,7 +157,7 @@
                 self._view = view
                 self._dispatcher_names.clear()
                 self._update_dispatchers()
-            case InForce(configuration=configuration):
+            case ConfigurationInForce(configuration=configuration):
                 for pool in configuration.pools:
                     self._pool_state(pool)
                 self._update_dispatchers()
--- a/hibiscusstep/dispatcher_host.py
+++ b/hibiscusstep/dispatcher_host.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from hibiscusstep.configuration.in_force import InForce
+from hibiscusstep.configuration.in_force import ConfigurationInForce
 from hibiscusstep.hosted_dispatcher import (
     TICK_S,
     HostedDispatcher,
@@ -184,7 +184,7 @@
                     self._feed(self._standby_hosted[pool], report)
             case ViewChanged(view=view):
                 self._handle_view(view)
-            case InForce(configuration=configuration):
+            case ConfigurationInForce(configuration=configuration):
                 self._configuration = configuration
                 self._handle_configuration()
             case Tick():
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 
 from hibiscusstep.clock import SuspensionDetector
-from hibiscusstep.configuration.in_force import InForce
+from hibiscusstep.configuration.in_force import ConfigurationInForce
 from hibiscusstep.dispatch_client import DispatchClient
 from hibiscusstep.dispatcher_host import DispatcherHost
 from hibiscusstep.errors import ConfigurationError
@@ -450,7 +450,7 @@
         if self._table is None:
             return
         plan = self._planner.make(self._table, self._targets, self._versions_of)
-        in_force = InForce(self._table.version, b"", plan)
+        in_force = ConfigurationInForce(self._table.version, b"", plan)
         self._dispatcher_host.tell(in_force)
         self._dispatch_client.tell(in_force)
         self._membership.tell(OwnStateChange(version=self._table.version))
--- a/hibiscusstep/instance.py
+++ b/hibiscusstep/instance.py
@@ -11,9 +11,9 @@
 from hibiscusstep.caller_server import CallerServer
 from hibiscusstep.claims.client import ClaimClient
 from hibiscusstep.claims.writer import ClaimWriter
-from hibiscusstep.configuration.in_force import InForce
+from hibiscusstep.configuration.in_force import ConfigurationInForce
 from hibiscusstep.configuration.settings import Settings
-from hibiscusstep.configuration.updater import ConfigurationKeeper
+from hibiscusstep.configuration.updater import ConfigurationUpdater
 from hibiscusstep.delivery import DeliveryServices
 from hibiscusstep.dispatch_client import DispatchClient
 from hibiscusstep.dispatcher_host import DispatcherHost
@@ -81,7 +81,7 @@
         self._platform = platform or kind(settings.platform)
         self._sessions: TargetSessions | None = None
         self._view = View()
-        self._in_force = InForce()
+        self._in_force = ConfigurationInForce()
         self._draining = False
         self._pending_status: dict[str, asyncio.Future] = {}
         self._recorder = self._make_recorder()
@@ -100,7 +100,7 @@
         return self._view
 
     @property
-    def in_force(self) -> InForce:
+    def in_force(self) -> ConfigurationInForce:
         """The configuration in force here."""
         return self._in_force
 
@@ -175,7 +175,7 @@
         self._membership = MeshMembership(
             settings, self._incarnation, self._links, self._platform, self._on_view
         )
-        self._configuration_updater = ConfigurationKeeper(
+        self._configuration_updater = ConfigurationUpdater(
             name, settings.watchers, self._platform, self._links, self._on_configuration
         )
         self._dispatcher_host = DispatcherHost(
@@ -288,7 +288,7 @@
         ):
             worker.tell(changed)
 
-    def _on_configuration(self, in_force: InForce) -> None:
+    def _on_configuration(self, in_force: ConfigurationInForce) -> None:
         self._in_force = in_force
         self._recorder.record(
             EventKind.CONFIGURATION_IN_FORCE, version=in_force.version
--- a/hibiscusstep/load/compare.py
+++ b/hibiscusstep/load/compare.py
@@ -10,7 +10,7 @@
 import orjson
 
 from hibiscusstep.configuration.change import apply_change, read_stored
-from hibiscusstep.configuration.stored import Stored
+from hibiscusstep.configuration.stored import StoredConfiguration
 from hibiscusstep.load.drive import Driver
 from hibiscusstep.load.mix import Mix, arrivals
 from hibiscusstep.load.report import Report, make_report
@@ -151,7 +151,7 @@
         """Put a policy into force; return the engines' URLs by name."""
         platform = self._deployment.platform
 
-        def edit(stored: Stored) -> Stored:
+        def edit(stored: StoredConfiguration) -> StoredConfiguration:
             pools = stored.load().pools
             tree = {"pools": {name: {"policy": policy} for name in pools}}
             files = {**stored.files, POLICY_FILE: orjson.dumps(tree).decode()}
--- a/hibiscusstep/progress.py
+++ b/hibiscusstep/progress.py
@@ -63,7 +63,7 @@
         self._admitted = admitted
         self._recorder = recorder
         self._explainer = explainer
-        rule = configuration.rule(admitted.tier)
+        rule = configuration.shedding_rule(admitted.tier)
         self._stoppable = admitted.route.idempotent and rule.may_be_stopped
         self.dispatched = False
         self.complete = False
--- a/hibiscusstep/routing/dispatcher.py
+++ b/hibiscusstep/routing/dispatcher.py
@@ -361,7 +361,7 @@
 
     def _give_up(self, item: Waiting, now: float, reason: m.Reason) -> bool:
         """Refuse a request unless lower work has to go first; say whether it went."""
-        if not self._configuration.rule(item.work.tier).may_be_shed:
+        if not self._configuration.shedding_rule(item.work.tier).may_be_shed:
             return False
         if not self._usable(now) or self._doubtful:
             known = m.Reason.UNAVAILABLE if self._doubtful else m.Reason.NO_TARGET
--- a/hibiscusstep/routing/shedding.py
+++ b/hibiscusstep/routing/shedding.py
@@ -34,7 +34,7 @@
 
     def may_stop(self, run: Running) -> bool:
         """Whether a running request may be stopped by the rules."""
-        rule = self._configuration.rule(run.work.tier)
+        rule = self._configuration.shedding_rule(run.work.tier)
         return run.work.stoppable and rule.may_be_stopped
 
     def waiting_below(self, rank: int) -> Iterator[Waiting]:
--- a/hibiscusstep/stores/memory.py
+++ b/hibiscusstep/stores/memory.py
@@ -15,13 +15,13 @@
 )
 from hibiscusstep.store import InstanceRecord, Platform, VersionedObject
 
-__all__ = ["MAX_VALUE_BYTES", "Faults", "MemoryPlatform"]
+__all__ = ["MAX_VALUE_BYTES", "InjectedFaults", "MemoryPlatform"]
 
 MAX_VALUE_BYTES = 1 << 20
 
 
 @dataclass
-class Faults:
+class InjectedFaults:
     """Injected faults, set by tests and by the stand-in's control calls.
 
     Parameters
@@ -49,7 +49,7 @@
 
     Attributes
     ----------
-    faults : Faults
+    faults : InjectedFaults
         Injected faults.
     calls : collections.Counter
         Number of calls by kind.
@@ -60,9 +60,9 @@
     name = "memory"
 
     def __init__(self, url: str = "") -> None:
-        self.faults = Faults()
+        self.faults = InjectedFaults()
         self.calls: Counter = Counter()
-        self.records: list[InstanceRecord] = []
+        self.instance_records: list[InstanceRecord] = []
         self.observer: Callable[[str, str], None] | None = None
         self._objects: dict[str, VersionedObject] = {}
         self._last_version = 0
@@ -105,7 +105,9 @@
 
     async def instances(self) -> Result[list[InstanceRecord], PlatformError]:
         """Return the list of instances."""
-        return await self._call("instances", "", lambda: Ok(list(self.records)))
+        return await self._call(
+            "instances", "", lambda: Ok(list(self.instance_records))
+        )
 
     async def _call(self, step, key, operation):
         self.calls[step] += 1
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -12,7 +12,7 @@
 
 from hibiscusstep.checker import check_history
 from hibiscusstep.configuration.settings import Settings
-from hibiscusstep.configuration.stored import CONFIGURATION_KEY, Stored
+from hibiscusstep.configuration.stored import CONFIGURATION_KEY, StoredConfiguration
 from hibiscusstep.events import EventKind, Recorder, read_history
 from hibiscusstep.instance import Instance
 from hibiscusstep.standins.batching import EngineSpeed
@@ -143,7 +143,7 @@
         await self.apply(configuration(self.targets, **self._options))
         ports = iter(free_ports(3 * len(self._names)))
         self._ports = {name: [next(ports) for _ in range(3)] for name in self._names}
-        self.platform.records = [
+        self.platform.instance_records = [
             InstanceRecord(name, "hall", f"127.0.0.1:{ports[2]}")
             for name, ports in self._ports.items()
         ]
@@ -204,7 +204,7 @@
         """Have a configuration accepted; return its version."""
         found = await self.platform.get(CONFIGURATION_KEY)
         version = found.unwrap().version if found.is_ok() else 0
-        value = Stored(files=files, **fields).to_bytes()
+        value = StoredConfiguration(files=files, **fields).to_bytes()
         accepted = (await self.platform.put(CONFIGURATION_KEY, value, version)).unwrap()
         self._recorder.record(EventKind.CONFIGURATION_ACCEPTED, version=accepted)
         return accepted
--- a/tests/test_configuration_spread.py
+++ b/tests/test_configuration_spread.py
@@ -4,7 +4,7 @@
 
 from cluster import Cluster, configuration, until
 
-from hibiscusstep.configuration.stored import Stored
+from hibiscusstep.configuration.stored import StoredConfiguration
 from hibiscusstep.events import EventKind
 
 
@@ -82,7 +82,7 @@
 class TestStored:
     def test_drained_targets_are_marked(self):
         files = configuration({"service-0": "127.0.0.1:1", "service-1": "127.0.0.1:2"})
-        loaded = Stored(files=files, drained=["service-1"]).load()
+        loaded = StoredConfiguration(files=files, drained=["service-1"]).load()
         marks = {n: t.drained for n, t in loaded.pools["service"].targets.items()}
         assert marks == {"service-0": False, "service-1": True}
 
--- a/tests/test_dispatch_client.py
+++ b/tests/test_dispatch_client.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from hibiscusstep.configuration.in_force import InForce
+from hibiscusstep.configuration.in_force import ConfigurationInForce
 from hibiscusstep.dispatch_client import DispatchClient
 from hibiscusstep.grant_messages import GrantRequest
 from hibiscusstep.mailbox import Call, Tick
@@ -60,7 +60,9 @@
 
     async def start(self, **ready):
         await self.client.handle(_view(**ready))
-        await self.client.handle(InForce(1, b"", Plan({"p": PlannedPool(True)})))
+        await self.client.handle(
+            ConfigurationInForce(1, b"", Plan({"p": PlannedPool(True)}))
+        )
 
     async def ask(self):
         call = Call(_grant_request())
--- a/tests/test_dispatcher_host.py
+++ b/tests/test_dispatcher_host.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hibiscusstep.configuration.in_force import InForce
+from hibiscusstep.configuration.in_force import ConfigurationInForce
 from hibiscusstep.dispatcher_host import KEEPALIVES_PER_S, DispatcherHost
 from hibiscusstep.mailbox import Tick
 from hibiscusstep.membership.mesh import ViewChanged
@@ -60,7 +60,7 @@
         dispatcher_class=SlotDispatcher, polls_load=False,
     )  # fmt: skip
     await worker.handle(_view(d="d-1", e="e-1"))
-    await worker.handle(InForce(1, b"", Plan({POOL: PlannedPool(True)})))
+    await worker.handle(ConfigurationInForce(1, b"", Plan({POOL: PlannedPool(True)})))
     register = PoolRegister(POOL, "e", "e-1", [], [], [])
     await worker.handle(Received("e:1", register))
     links.sent.clear()
@@ -97,7 +97,9 @@
         worker, links = dispatcher_host
         targets = {"t": PlannedTarget(1)}
         await worker.handle(
-            InForce(2, b"", Plan({POOL: PlannedPool(False, targets=targets)}))
+            ConfigurationInForce(
+                2, b"", Plan({POOL: PlannedPool(False, targets=targets)})
+            )
         )
         register = PoolRegister(POOL, "d", "d-1", [], [], [])
         await worker.handle(Received("d:1", register))
@@ -129,7 +131,7 @@
         )  # fmt: skip
         await worker.handle(_view(d="d-1"))
         plan = Plan({POOL: PlannedPool(False, targets={"t": PlannedTarget(0)})})
-        await worker.handle(InForce(1, b"", plan))
+        await worker.handle(ConfigurationInForce(1, b"", plan))
         register = PoolRegister(POOL, "d", "d-1", [], [], [])
         await worker.handle(Received("d:1", register))
         for n in range(instances):
--- a/tests/test_mechanisms_off.py
+++ b/tests/test_mechanisms_off.py
@@ -13,9 +13,9 @@
 from cluster import Cluster, configuration, until
 
 from hibiscusstep.caller_server import CallerServer
-from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.configuration.stored import Stored
-from hibiscusstep.configuration.updater import ConfigurationKeeper, _Seen
+from hibiscusstep.configuration.in_force import ConfigurationInForce
+from hibiscusstep.configuration.stored import StoredConfiguration
+from hibiscusstep.configuration.updater import ConfigurationUpdater, _Seen
 from hibiscusstep.events import EventKind
 from hibiscusstep.load.drive import Result, State, _judge
 from hibiscusstep.load.mix import Arrival, RequestClass
@@ -54,7 +54,9 @@
 
     async def test_versions_that_only_go_up(self, tmp_path, monkeypatch):
         def take_any(keeper, version, value):
-            loaded = InForce(version, value, Stored.parse(value).load())
+            loaded = ConfigurationInForce(
+                version, value, StoredConfiguration.parse(value).load()
+            )
             keeper._in_force = loaded
             keeper._publish(loaded)
 
@@ -64,7 +66,7 @@
             await until(
                 lambda: all(e.in_force.version == newer for e in cluster._live())
             )
-            monkeypatch.setattr(ConfigurationKeeper, "_take", take_any)
+            monkeypatch.setattr(ConfigurationUpdater, "_apply_version", take_any)
             cluster.entries["e0"]._configuration_updater.tell(
                 _Seen(old.version, old.value)
             )
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -105,7 +105,7 @@
             "i0", "a", "r", "c:1", "o:1", "i0:1", "key", (), 0.25, 1.0, mesh_size=5
         )
         links, platform = _Links(), MemoryPlatform()
-        platform.records = RECORDS
+        platform.instance_records = RECORDS
         worker = HierarchicalMembership(
             settings, "inc0", links, platform, lambda _changed: None, 5, 5
         )
