--- a/hibiscusstep/membership/hierarchical.py
+++ b/hibiscusstep/membership/hierarchical.py
@@ -48,7 +48,7 @@
 class HierarchicalMembership(MeshMembership):
     """Membership with heartbeats among relays, and between a relay and its followers.
 
-    A small region is a full mesh, as with `MeshMembership`: all its instances are relays.
+    A small region is a full mesh, as with `MeshMembership`: every instance is a relay.
     An instance contacts others after its first attempt to read the platform's list, or
     after `FIRST_LIST_TIMEOUT_S`.
 
@@ -98,7 +98,7 @@
         return self._own.relay
 
     async def handle(self, message) -> None:
-        """Handle the messages of `MeshMembership` and lists of relays from the parent."""
+        """Handle `MeshMembership` messages and lists of relays from the parent."""
         now = asyncio.get_running_loop().time()
         match message:
             case Received(sender=sender, message=Relays() as relay_list):
--- a/hibiscusstep/store.py
+++ b/hibiscusstep/store.py
@@ -130,8 +130,8 @@
     ) -> Result[tuple[list[Change], int], PlatformError]:
         """Return the changes since a revision, and the revision to continue from.
 
-        Waits up to `timeout` seconds for the first change. The error is `RevisionExpired`
-        if the store no longer has the changes.
+        Waits up to `timeout` seconds for the first change. The error is
+        `RevisionExpired` if the store no longer has the changes.
         """
 
 
