--- a/hibiscusstep/attempt.py
+++ b/hibiscusstep/attempt.py
@@ -118,7 +118,7 @@
                 outcome,
                 answer.tokens if answer else 0,
                 self._decode_seconds(now),
-                answer.computed if answer else -1,
+                answer.computed_prompt_tokens if answer else -1,
             )
         )
 
--- a/hibiscusstep/delivery.py
+++ b/hibiscusstep/delivery.py
@@ -42,7 +42,7 @@
     ----------
     name : str
         The instance's name.
-    desk : DispatchClient
+    dispatch_client : DispatchClient
         Requests grants.
     keys : KeyGuard
         Claims keys and fetches earlier answers.
@@ -57,7 +57,7 @@
     """
 
     name: str
-    desk: DispatchClient
+    dispatch_client: DispatchClient
     keys: KeyGuard
     sessions: object
     recorder: NullRecorder
@@ -223,7 +223,7 @@
             self._sink,
             self._progress,
             self._configuration,
-            self._services.desk,
+            self._services.dispatch_client,
             self._services.sessions,
         )
 
@@ -239,7 +239,7 @@
         )
         self._progress.record(EventKind.QUEUED)
         try:
-            reply = await self._services.desk.ask(grant_request)
+            reply = await self._services.dispatch_client.ask(grant_request)
         except MailboxFull:
             reply = Refused(Reason.LOAD, 1.0)
         if isinstance(reply, Refused):
--- a/hibiscusstep/dispatch_client.py
+++ b/hibiscusstep/dispatch_client.py
@@ -56,33 +56,33 @@
 @dataclass(slots=True, eq=False)
 class _TrackedRequest:
     question: Call
-    wanted: GrantRequest
-    received: float
+    grant_request: GrantRequest
+    received_at: float
     target: str = ""
-    asked: float = 0.0
+    asked_at: float = 0.0
 
 
 @dataclass(slots=True)
 class _PoolState:
     """The waiting and running requests of one pool, and its dispatcher.
 
-    `heard` is the time of the dispatcher's last message and `patience` the seconds of
-    silence allowed after it. Until `alone_until` the instance dispatches its own
-    requests; the next such period lasts `alone_s` seconds. `alone` is whether it did so
-    at the last update: the next dispatcher for all instances must receive the running
-    requests, even if it is this instance. `told_held` is whether the last `PoolHeld`
-    listed any running request.
+    `last_heard_at` is the time of the dispatcher's last message and `max_silence_s` the
+    seconds of silence allowed after it. Until `standby_until` the instance dispatches
+    its own requests; the next such period lasts `standby_s` seconds. `is_standby` is
+    whether it did so at the last update: the next dispatcher for all instances must
+    receive the running requests, even if it is this instance. `held_reported` is
+    whether the last `PoolHeld` listed any running request.
     """
 
     dispatcher: Member | None = None
-    alone: bool = False
-    heard: float = 0.0
-    patience: float = 0.0
-    alone_until: float = 0.0
-    alone_s: float = MIN_STANDBY_S
+    is_standby: bool = False
+    last_heard_at: float = 0.0
+    max_silence_s: float = 0.0
+    standby_until: float = 0.0
+    standby_s: float = MIN_STANDBY_S
     waiting: dict[str, _TrackedRequest] = field(default_factory=dict)
     running: dict[str, _TrackedRequest] = field(default_factory=dict)
-    told_held: bool = False
+    held_reported: bool = False
 
 
 class DispatchClient(Worker):
@@ -148,7 +148,7 @@
             case Received(message=PoolStop(pool=pool, ask=ask)):
                 tracked = self._pool_state(pool).running.get(ask)
                 if tracked:
-                    tracked.wanted.on_stop()
+                    tracked.grant_request.on_stop()
             case Received(sender=sender, message=NotDispatcher(pool=pool)):
                 self._handle_not_dispatcher(pool, sender)
             case LinkLost(address=address):
@@ -178,7 +178,7 @@
 
     def _pool_state(self, pool: str) -> _PoolState:
         if pool not in self._pool_states:
-            self._pool_states[pool] = _PoolState(patience=self._standby_after)
+            self._pool_states[pool] = _PoolState(max_silence_s=self._standby_after)
         return self._pool_states[pool]
 
     def _request_grant(self, call: Call) -> None:
@@ -187,7 +187,7 @@
         if not self._has_waiting:
             self._schedule_tick(self._busy_tick_s)
         self._send_ask(
-            grant_request.pool, _TrackedRequest(call, grant_request, now, asked=now)
+            grant_request.pool, _TrackedRequest(call, grant_request, now, asked_at=now)
         )
 
     def _send_ask(self, pool: str, tracked: _TrackedRequest) -> None:
@@ -198,12 +198,14 @@
     def _work_info(self, ask: str, tracked: _TrackedRequest) -> WorkInfo:
         now = asyncio.get_running_loop().time()
         return replace(
-            tracked.wanted.work,
+            tracked.grant_request.work,
             ask=ask,
-            deadline_in=tracked.wanted.deadline - now,
-            waited=now - tracked.received,
-            due_in=tracked.wanted.due - now,
-            ends_in=tracked.wanted.ends - now if tracked.wanted.ends else 0.0,
+            deadline_in=tracked.grant_request.deadline - now,
+            waited=now - tracked.received_at,
+            due_in=tracked.grant_request.first_token_due - now,
+            ends_in=tracked.grant_request.answer_due - now
+            if tracked.grant_request.answer_due
+            else 0.0,
         )
 
     def _send_finished(self, ended: RequestEnded) -> None:
@@ -216,7 +218,7 @@
                     ended.outcome,
                     ended.tokens,
                     ended.decode_seconds,
-                    ended.computed,
+                    ended.computed_prompt_tokens,
                     ended.longest_pause,
                 ),
             )
@@ -227,7 +229,7 @@
         if tracked is None or tracked.question.answer.done():
             self._send(grant.pool, PoolWithdraw(grant.pool, grant.ask))
             return
-        elapsed = asyncio.get_running_loop().time() - tracked.received
+        elapsed = asyncio.get_running_loop().time() - tracked.received_at
         if elapsed - grant.waited > STALE_GRANT_S:
             self._send(grant.pool, PoolWithdraw(grant.pool, grant.ask))
             self._send_ask(grant.pool, tracked)
@@ -247,7 +249,7 @@
         for pool, state in self._pool_states.items():
             for ask, tracked in list(state.waiting.items()):
                 is_cancelled = tracked.question.answer.done()
-                if is_cancelled or self._is_overdue(state, tracked.wanted, now):
+                if is_cancelled or self._is_overdue(state, tracked.grant_request, now):
                     del state.waiting[ask]
                     self._send(pool, PoolWithdraw(pool, ask))
                     tracked.question.reply(
@@ -264,9 +266,11 @@
         """
         if grant_request.never_shed and state.dispatcher:
             return False
-        recently_heard = self._standby_after and now - state.heard < state.patience
+        recently_heard = (
+            self._standby_after and now - state.last_heard_at < state.max_silence_s
+        )
         latest = (
-            max(grant_request.deadline, grant_request.ends)
+            max(grant_request.deadline, grant_request.answer_due)
             if recently_heard
             else grant_request.deadline
         )
@@ -284,11 +288,11 @@
         """
         state = self._pool_state(pool)
         if state.dispatcher and state.dispatcher.peer_address == sender:
-            state.heard = asyncio.get_running_loop().time()
+            state.last_heard_at = asyncio.get_running_loop().time()
             extra = again_in - MIN_KEEPALIVE_INTERVAL_S
-            state.patience = self._standby_after + max(0.0, extra)
+            state.max_silence_s = self._standby_after + max(0.0, extra)
             if sender != self._address:
-                state.alone_s = MIN_STANDBY_S
+                state.standby_s = MIN_STANDBY_S
 
     def _start_standby(self) -> None:
         """Dispatch own requests in pools whose dispatcher has been silent too long."""
@@ -297,19 +301,19 @@
         now = asyncio.get_running_loop().time()
         for pool, state in self._pool_states.items():
             oldest = min(
-                (tracked.asked for tracked in state.waiting.values()), default=now
+                (tracked.asked_at for tracked in state.waiting.values()), default=now
             )
-            silence = now - max(state.heard, oldest)
-            if silence > state.patience and now >= state.alone_until:
-                state.alone_until = now + state.alone_s
-                state.alone_s = min(MAX_STANDBY_S, state.alone_s * 2)
+            silence = now - max(state.last_heard_at, oldest)
+            if silence > state.max_silence_s and now >= state.standby_until:
+                state.standby_until = now + state.standby_s
+                state.standby_s = min(MAX_STANDBY_S, state.standby_s * 2)
                 name = state.dispatcher.name if state.dispatcher else ""
                 decision(
                     "dispatcher-silent",
                     pool=pool,
                     dispatcher=name,
                     silent_s=round(silence, 3),
-                    alone_s=round(state.alone_until - now, 1),
+                    alone_s=round(state.standby_until - now, 1),
                 )
 
     def _report_held(self) -> None:
@@ -322,9 +326,9 @@
             return
         self._held_reported_at = now
         for pool, state in self._pool_states.items():
-            if state.running or state.told_held:
+            if state.running or state.held_reported:
                 self._send(pool, PoolHeld(pool, self._own_name, list(state.running)))
-            state.told_held = bool(state.running)
+            state.held_reported = bool(state.running)
 
     def _dispatcher_name(self, pool: str) -> str | None:
         if pool not in self._dispatcher_names:
@@ -338,15 +342,17 @@
         instances, none is ready to dispatch for about a second. Waiting until the
         silence was detected delayed each of the first requests by 0.12 to 0.16 s.
         """
-        if asyncio.get_running_loop().time() < state.alone_until:
+        if asyncio.get_running_loop().time() < state.standby_until:
             return True
         return bool(self._standby_after) and self._dispatcher_name(pool) is None
 
     def _update_dispatchers(self) -> None:
         """Determine the dispatcher of each pool and register with each new one."""
         for pool, state in self._pool_states.items():
-            alone = self._is_standby(pool, state)
-            dispatcher_name = self._own_name if alone else self._dispatcher_name(pool)
+            is_standby = self._is_standby(pool, state)
+            dispatcher_name = (
+                self._own_name if is_standby else self._dispatcher_name(pool)
+            )
             member = (
                 self._view.members.get(dispatcher_name) if dispatcher_name else None
             )
@@ -355,10 +361,10 @@
                 previous is not None
                 and member is not None
                 and previous.incarnation == member.incarnation
-                and state.alone == alone
+                and state.is_standby == is_standby
             )
             state.dispatcher = member
-            state.alone = alone
+            state.is_standby = is_standby
             if member and not unchanged:
                 self._register(pool, state)
 
@@ -368,10 +374,10 @@
             for tracked in state.waiting.values()
         }
         now = asyncio.get_running_loop().time()
-        state.heard = now
-        state.patience = self._standby_after
+        state.last_heard_at = now
+        state.max_silence_s = self._standby_after
         for tracked in renamed.values():
-            tracked.asked = now
+            tracked.asked_at = now
         state.waiting = renamed
         message = PoolRegister(
             pool,
--- a/hibiscusstep/grant_messages.py
+++ b/hibiscusstep/grant_messages.py
@@ -6,7 +6,7 @@
 from hibiscusstep.peer import WorkInfo
 from hibiscusstep.routing.messages import Outcome, Reason
 
-__all__ = ["RequestEnded", "Granted", "GrantRequest", "Refused", "FirstTokenReceived"]
+__all__ = ["FirstTokenReceived", "GrantRequest", "Granted", "Refused", "RequestEnded"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,9 +25,9 @@
         Whether the request keeps waiting beyond its deadline.
     on_stop : callable
         Called if the granted request must be stopped.
-    due : float
+    first_token_due : float
         Latest time at which the first token is on time, on the loop's clock.
-    ends : float
+    answer_due : float
         Latest time of the complete answer, on the loop's clock; 0 if not known.
     """
 
@@ -36,8 +36,8 @@
     deadline: float
     never_shed: bool
     on_stop: Callable[[], None]
-    due: float = 0.0
-    ends: float = 0.0
+    first_token_due: float = 0.0
+    answer_due: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,5 +74,5 @@
     outcome: Outcome
     tokens: int = 0
     decode_seconds: float = 0.0
-    computed: int = -1
+    computed_prompt_tokens: int = -1
     longest_pause: float = 0.0
--- a/hibiscusstep/target.py
+++ b/hibiscusstep/target.py
@@ -59,14 +59,14 @@
         Content type of the answer.
     tokens : int
         Events or tokens received so far.
-    computed : int
+    computed_prompt_tokens : int
         Prompt tokens that the target reports as computed; -1 if not reported.
     """
 
     status: int
     content_type: str
     tokens: int = 0
-    computed: int = -1
+    computed_prompt_tokens: int = -1
 
     @abstractmethod
     def chunks(self) -> AsyncIterator[bytes]:
--- a/hibiscusstep/targets/engine.py
+++ b/hibiscusstep/targets/engine.py
@@ -90,7 +90,7 @@
             peer = self._target.name
             raise TargetError(detail, step="read", peer=peer, sent=True) from None
         self.tokens = int(usage.get("completion_tokens", 0))
-        self.computed = int(usage.get("prompt_tokens_computed", -1))
+        self.computed_prompt_tokens = int(usage.get("prompt_tokens_computed", -1))
 
 
 class StreamedAnswer(EngineAnswer):
@@ -137,7 +137,7 @@
         if events.endswith(END_MARK):
             self._end_seen = True
             found = _COMPUTED_TOKENS.search(events[-400:])
-            self.computed = int(found.group(1)) if found else -1
+            self.computed_prompt_tokens = int(found.group(1)) if found else -1
             self.tokens += events.count(EVENT_END) - 2
         else:
             self.tokens += events.count(EVENT_END)
