--- a/hibiscusstep/dispatcher_host.py
+++ b/hibiscusstep/dispatcher_host.py
@@ -222,7 +222,9 @@
     def _handle_tick(self) -> None:
         now = asyncio.get_running_loop().time()
         for hosted in (*self._hosted.values(), *self._standby_hosted.values()):
-            may_decide = self._has_standby and now > hosted.since + RECOVERY_TIMEOUT_S
+            may_decide = (
+                self._has_standby and now > hosted.created_at + RECOVERY_TIMEOUT_S
+            )
             if may_decide and not hosted.dispatcher.recovered:
                 self._recover(hosted)
             self._drop_silent_instances(hosted, now)
@@ -230,10 +232,10 @@
             self._send_keepalives(hosted, now)
             self._report_rollout(hosted, now)
             if (
-                hosted.told + STATE_LOG_INTERVAL_S <= now
+                hosted.state_logged_at + STATE_LOG_INTERVAL_S <= now
                 and hosted in self._hosted.values()
             ):
-                hosted.told = now
+                hosted.state_logged_at = now
                 self._log_state(hosted, now)
                 self._send_estimates(hosted)
 
@@ -241,9 +243,11 @@
         """Drop the requests of silent instances where there is no full mesh."""
         if self._view.is_mesh:
             return
-        silent = [n for n, at in hosted.heard.items() if now - at > INSTANCE_TIMEOUT_S]
+        silent = [
+            n for n, at in hosted.last_heard_at.items() if now - at > INSTANCE_TIMEOUT_S
+        ]
         for name in silent:
-            del hosted.heard[name]
+            del hosted.last_heard_at[name]
             self._feed(hosted, m.InstanceGone(name))
 
     def _send_estimates(self, hosted: HostedDispatcher) -> None:
@@ -272,9 +276,12 @@
         rollout = hosted.dispatcher.rollout
         if rollout is None or not self._on_rollout:
             return
-        if concluded is None and now < hosted.rollout_told + ROLLOUT_REPORT_INTERVAL_S:
+        if (
+            concluded is None
+            and now < hosted.rollout_reported_at + ROLLOUT_REPORT_INTERVAL_S
+        ):
             return
-        hosted.rollout_told = now
+        hosted.rollout_reported_at = now
         pool, number = hosted.dispatcher.pool_name, rollout.planned.number
         fields = {"pool": pool, "version": rollout.planned.version, **rollout.summary}
         if concluded:
@@ -310,12 +317,12 @@
 
     def _send_keepalives(self, hosted: HostedDispatcher, now: float) -> None:
         """Send keepalives to the instances with waiting requests."""
-        if now + TICK_S / 2 < hosted.signed + hosted.sign_interval:
+        if now + TICK_S / 2 < hosted.keepalives_sent_at + hosted.keepalive_interval_s:
             return
         instances = hosted.dispatcher.instances_waiting()
-        hosted.signed = now
-        hosted.sign_interval = max(TICK_S, len(instances) / KEEPALIVES_PER_S)
-        keepalive = PoolQueued(hosted.dispatcher.pool_name, hosted.sign_interval)
+        hosted.keepalives_sent_at = now
+        hosted.keepalive_interval_s = max(TICK_S, len(instances) / KEEPALIVES_PER_S)
+        keepalive = PoolQueued(hosted.dispatcher.pool_name, hosted.keepalive_interval_s)
         for instance in instances:
             address = hosted.addresses.get(instance)
             if address:
@@ -336,7 +343,7 @@
         self._schedule_tick(TICK_S)
         hosted = self._standby_hosted[pool]
         hosted.dispatcher.share = min(
-            1.0, STANDBY_SHARES / max(1, self._view.likely_size)
+            1.0, STANDBY_SHARES / max(1, self._view.expected_size)
         )
         return hosted
 
@@ -353,10 +360,10 @@
         match body:
             case PoolAsk(work=info):
                 hosted.addresses[info.instance] = sender
-                hosted.heard[info.instance] = now
+                hosted.last_heard_at[info.instance] = now
                 self._feed(hosted, m.Ask(to_work(info, now)))
                 if self._has_standby and hosted.dispatcher.is_waiting(info.ask):
-                    self._send(sender, PoolQueued(pool, hosted.sign_interval))
+                    self._send(sender, PoolQueued(pool, hosted.keepalive_interval_s))
             case PoolWithdraw(ask=ask):
                 self._feed(hosted, m.Withdraw(ask))
             case PoolFirstToken(ask=ask, seconds=seconds):
@@ -372,7 +379,7 @@
                 )
                 self._feed(hosted, finished)
             case PoolHeld(instance=instance, asks=asks):
-                hosted.heard[instance] = now
+                hosted.last_heard_at[instance] = now
                 self._feed(hosted, m.Held(instance, frozenset(asks)))
             case PoolRegister():
                 self._register(hosted, sender, body, now)
@@ -381,13 +388,13 @@
         self, hosted: HostedDispatcher, sender: str, body: PoolRegister, now: float
     ) -> None:
         hosted.addresses[body.instance] = sender
-        hosted.heard[body.instance] = now
+        hosted.last_heard_at[body.instance] = now
         self._feed(hosted, m.InstanceGone(body.instance))
         for info, target in zip(body.running, body.targets, strict=True):
             self._feed(hosted, m.Adopt(to_work(info, now), target))
         for info in body.waiting:
             self._feed(hosted, m.Ask(to_work(info, now)))
-        hosted.registered.add(body.incarnation)
+        hosted.registered_incarnations.add(body.incarnation)
         self._recover_if_all_registered(body.pool, hosted)
 
     def _recover_if_all_registered(self, pool: str, hosted: HostedDispatcher) -> None:
@@ -397,12 +404,16 @@
         view = self._view
         live = (*view.members.values(), *view.followers.values())
         expected = {member.incarnation for member in live if member.ready}
-        if not view.others and expected <= hosted.registered:
+        if not view.other_instances and expected <= hosted.registered_incarnations:
             self._recover(hosted)
 
     def _recover(self, hosted: HostedDispatcher) -> None:
         pool = hosted.dispatcher.pool_name
-        decision("dispatcher-recovered", pool=pool, instances=len(hosted.registered))
+        decision(
+            "dispatcher-recovered",
+            pool=pool,
+            instances=len(hosted.registered_incarnations),
+        )
         self._feed(hosted, m.Recovered())
 
     def _handle_view(self, view: View) -> None:
@@ -413,9 +424,9 @@
             # In a large region a relay missing from the view may follow another relay.
             for name in removed if view.is_mesh else ():
                 self._feed(hosted, m.InstanceGone(name))
-                hosted.dropped.add(previous[name].incarnation)
+                hosted.dropped_incarnations.add(previous[name].incarnation)
             self._request_registration(pool, hosted)
-            self._feed(hosted, m.Doubt(view.doubtful))
+            self._feed(hosted, m.Doubt(view.has_unreachable))
             self._recover_if_all_registered(pool, hosted)
 
     def _request_registration(self, pool: str, hosted: HostedDispatcher) -> None:
@@ -425,8 +436,8 @@
         refused at their deadlines.
         """
         for member in self._view.members.values():
-            if member.incarnation in hosted.dropped:
-                hosted.dropped.discard(member.incarnation)
+            if member.incarnation in hosted.dropped_incarnations:
+                hosted.dropped_incarnations.discard(member.incarnation)
                 self._send(member.peer_address, NotDispatcher(pool))
 
     def _handle_configuration(self) -> None:
@@ -450,7 +461,7 @@
                 pool, self._configuration, tier_guard=self._tier_guard
             )
             hosted = HostedDispatcher(
-                dispatcher, since=asyncio.get_running_loop().time()
+                dispatcher, created_at=asyncio.get_running_loop().time()
             )
             if self._polls_load:
                 hosted.poller = asyncio.create_task(self._poll_load_reports(pool))
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -117,7 +117,7 @@
         self._around = surroundings
         self._settings = surroundings.settings
         self._incarnation = secrets.token_hex(6)
-        self._view = View(settled=False)
+        self._view = View(role_known=False)
         self._table: RoutingTable | None = None
         self._targets: dict[str, DiscoveredTarget] = {}
         self._planner = Planner()
@@ -397,7 +397,7 @@
 
     def _on_view(self, changed: ViewChanged) -> None:
         self._view = changed.view
-        self._retries.instances = changed.view.likely_size
+        self._retries.instances = changed.view.expected_size
         for worker in (
             self._dispatcher_host,
             self._dispatch_client,
@@ -411,9 +411,9 @@
 
     def _choose_sources(self) -> None:
         """Follow the store, unless a relay does it for this instance."""
-        if not self._follows_store or not self._view.settled:
+        if not self._follows_store or not self._view.role_known:
             return
-        served = self._view.parent and self._view.attached
+        served = self._view.parent and self._view.receives_updates
         waits_in_vain = not self.ready and self._age() > FOLLOWER_PATIENCE_S
         self._catalog.tell(Follow(not served or waits_in_vain))
 
@@ -542,7 +542,7 @@
         metrics.gauge("configuration_version", self.version)
         metrics.gauge("members", self._view.size)
         metrics.gauge("followers", len(self._view.followers))
-        metrics.gauge("silent_members", self._view.silent)
+        metrics.gauge("silent_members", self._view.unreachable)
         metrics.gauge("connections_opened", self._connections.opened)
         metrics.gauge("log_lines_dropped", count_dropped_lines())
         metrics.gauge("requests_suspected", self._quarantine.suspected)
--- a/hibiscusstep/forwarding/quarantine.py
+++ b/hibiscusstep/forwarding/quarantine.py
@@ -61,7 +61,7 @@
         self._store = store
         self._detector = CrashDetector(connections, self._take_crash)
         self._table = SuspectTable()
-        self._view = View(settled=False)
+        self._view = View(role_known=False)
         self._neighbours = Neighbours(address, links)
         self._ticks = 0
         self._read = False
@@ -196,7 +196,7 @@
         self._detector.forget_old(now)
         if self._ticks % TELL_ALL_EVERY == 0:
             self._tell(self._table.recent(now), self._neighbours.addresses)
-        keeps = self._view.settled and self._view.has_duty(_DUTY, self._address)
+        keeps = self._view.role_known and self._view.has_duty(_DUTY, self._address)
         if keeps and (self._keeping is None or self._keeping.done()):
             # A store that does not answer must not hold up what peers tell.
             self._keeping = asyncio.create_task(self._keep())
--- a/hibiscusstep/forwarding/quota.py
+++ b/hibiscusstep/forwarding/quota.py
@@ -199,7 +199,7 @@
         """Have read what was kept, unless a relay knows it or the window is known."""
         if self._kept is None or self._ledger.knows_window(now):
             return
-        if self._view.settled and not self._view.parent:
+        if self._view.role_known and not self._view.parent:
             self._kept.tell(ReadUse())
 
     def _ask(self, address: str) -> None:
--- a/hibiscusstep/forwarding/reach.py
+++ b/hibiscusstep/forwarding/reach.py
@@ -49,19 +49,19 @@
     def likely_size(self) -> int:
         """Instances that share what is left; alone at a start, those on the list."""
         size = self._view.size
-        return max(1, size if size > 1 else self._view.likely_size)
+        return max(1, size if size > 1 else self._view.expected_size)
 
     def silent(self, now: float) -> int:
         """Return how many instances may live out of reach and use their part."""
         if now - self._began < MEET_S or now >= self._doubt_until:
-            return self._view.silent
-        return max(self._view.silent, self._may_live - self._view.size)
+            return self._view.unreachable
+        return max(self._view.unreachable, self._may_live - self._view.size)
 
     def take_view(self, view: View, now: float) -> None:
         """Take a new view, and with it the number of instances on the list."""
         self._view = view
-        if not self._told and view.listed > self._may_live:
-            self._may_live = view.listed
+        if not self._told and view.listed_at_startup > self._may_live:
+            self._may_live = view.listed_at_startup
             self._doubt_until = now + DOUBT_LISTED_S
 
     def take_told(self, instances: int, now: float) -> None:
--- a/hibiscusstep/forwarding/rollouts.py
+++ b/hibiscusstep/forwarding/rollouts.py
@@ -121,7 +121,7 @@
         self._own_name = name
         self._store = store
         self._on_change = on_change
-        self._view = View(settled=False)
+        self._view = View(role_known=False)
         self._neighbours = Neighbours(address, links)
         self._following: asyncio.Task | None = None
         self._reading: asyncio.Task | None = None
@@ -293,7 +293,7 @@
         view = self._view
         chosen = rendezvous_hash(view.eligible, _DUTY, FOLLOWERS)
         # Before anybody is settled each instance reads only if it has to.
-        follows = view.settled and (
+        follows = view.role_known and (
             self._own_name in chosen or any(map(self._dispatches, self.book))
         )
         if follows and self._following is None:
--- a/hibiscusstep/hosted_dispatcher.py
+++ b/hibiscusstep/hosted_dispatcher.py
@@ -17,26 +17,27 @@
 class HostedDispatcher:
     """A pool's dispatcher that this instance runs.
 
-    `registered` are the incarnations that reported their requests, `dropped` those
-    considered dead since. `addresses` and `heard` are the peer address and the time of
-    the last message of each instance. `signed` is the time of the last keepalives to
-    instances with waiting requests, `sign_interval` the seconds until the next.
-    `told` is the time of the last log of the state, `rollout_told` that of the last
-    report of the rollout's progress. `since` is when the dispatcher was created, 0 for
+    `registered_incarnations` are those that reported their requests,
+    `dropped_incarnations` those considered dead since. `addresses` and `last_heard_at`
+    are the peer address and the time of the last message of each instance.
+    `keepalives_sent_at` is the time of the last keepalives to instances with waiting
+    requests, `keepalive_interval_s` the seconds until the next. `state_logged_at` is
+    the time of the last log of the state, `rollout_reported_at` that of the last report
+    of the rollout's progress. `created_at` is when the dispatcher was created, 0 for
     one that dispatches own requests only.
     """
 
     dispatcher: PoolDispatcher
-    registered: set[str] = field(default_factory=set)
-    dropped: set[str] = field(default_factory=set)
+    registered_incarnations: set[str] = field(default_factory=set)
+    dropped_incarnations: set[str] = field(default_factory=set)
     addresses: dict[str, str] = field(default_factory=dict)
-    heard: dict[str, float] = field(default_factory=dict)
+    last_heard_at: dict[str, float] = field(default_factory=dict)
     poller: asyncio.Task | None = None
-    since: float = 0.0
-    told: float = 0.0
-    signed: float = 0.0
-    sign_interval: float = TICK_S
-    rollout_told: float = 0.0
+    created_at: float = 0.0
+    state_logged_at: float = 0.0
+    keepalives_sent_at: float = 0.0
+    keepalive_interval_s: float = TICK_S
+    rollout_reported_at: float = 0.0
 
 
 def to_estimates(message: PoolLearnt, old: bool = False) -> m.Learnt:
--- a/hibiscusstep/instance.py
+++ b/hibiscusstep/instance.py
@@ -342,7 +342,7 @@
             "instance": self._settings.name,
             "version": self._in_force.version,
             "ready": self.ready,
-            "doubtful": self._view.doubtful,
+            "doubtful": self._view.has_unreachable,
             "members": [
                 {
                     "name": member.name,
--- a/hibiscusstep/membership/hierarchical.py
+++ b/hibiscusstep/membership/hierarchical.py
@@ -278,13 +278,17 @@
             view,
             followers=followers,
             parent=parent,
-            others=others,
-            attached=self._own.relay or self._parent_responds(),
-            settled=self._list_attempted,
-            listed=self._listed_at_startup(),
+            other_instances=others,
+            receives_updates=self._own.relay or self._parent_responds(),
+            role_known=self._list_attempted,
+            listed_at_startup=self._listed_at_startup(),
         )
         grouped = bool(followers) or others > 0 or not self._own.relay
-        return replace(view, silent=self._count_missing(view.size)) if grouped else view
+        return (
+            replace(view, unreachable=self._count_missing(view.size))
+            if grouped
+            else view
+        )
 
     def _listed_at_startup(self) -> int:
         age = asyncio.get_running_loop().time() - self._started_at
--- a/hibiscusstep/membership/tracker.py
+++ b/hibiscusstep/membership/tracker.py
@@ -135,4 +135,4 @@
         unreachable = set(self._silent_since) & (
             listed_names if listed_names is not None else set(self._silent_since)
         )
-        return View({**self.members, own.name: own}, silent=len(unreachable))
+        return View({**self.members, own.name: own}, unreachable=len(unreachable))
--- a/hibiscusstep/membership/view.py
+++ b/hibiscusstep/membership/view.py
@@ -104,47 +104,47 @@
     ----------
     members : dict of str to Member
         Members by name.
-    silent : int
+    unreachable : int
         Number of unreachable instances that may be alive, as in a network partition.
     followers : dict of str to Member
         Instances that follow this one, by name.
     parent : str
         Peer address of the relay that this instance follows; empty if there is none.
-    others : int
+    other_instances : int
         Number of live instances that are neither members nor followers.
-    attached : bool
+    receives_updates : bool
         Whether updates from the others arrive: always on a relay; on a follower, while
         its parent sends messages.
-    settled : bool
+    role_known : bool
         Whether the instance knows whether it is a relay or a follower.
-    listed : int
+    listed_at_startup : int
         Number of instances on the platform's list while this one has just started and
         may not know all others; otherwise 0.
     """
 
     members: dict[str, Member] = field(default_factory=dict)
-    silent: int = 0
+    unreachable: int = 0
     followers: dict[str, Member] = field(default_factory=dict)
     parent: str = ""
-    others: int = 0
-    attached: bool = True
-    settled: bool = True
-    listed: int = 0
+    other_instances: int = 0
+    receives_updates: bool = True
+    role_known: bool = True
+    listed_at_startup: int = 0
 
     @property
-    def likely_size(self) -> int:
+    def expected_size(self) -> int:
         """Number of live instances, including those that are probably starting."""
-        return max(self.size, self.listed)
+        return max(self.size, self.listed_at_startup)
 
     @property
-    def doubtful(self) -> bool:
+    def has_unreachable(self) -> bool:
         """Whether instances that may be alive are unreachable."""
-        return self.silent > 0
+        return self.unreachable > 0
 
     @property
     def size(self) -> int:
         """Number of live instances."""
-        return len(self.members) + len(self.followers) + self.others
+        return len(self.members) + len(self.followers) + self.other_instances
 
     @property
     def is_mesh(self) -> bool:
--- a/tests/quota_region.py
+++ b/tests/quota_region.py
@@ -191,7 +191,7 @@
     def view(self, number, seen, silent, listed):
         """Return the view of an instance that sees others."""
         members = {f"i{n}": self.member(n) for n in seen}
-        return View(members, silent, listed=listed)
+        return View(members, silent, listed_at_startup=listed)
 
     def member(self, number, relay=True):
         incarnation = self.instances[number].incarnation
@@ -273,14 +273,22 @@
         others = len(seen) - len(members)
         if number >= self.RELAYS:
             parent = f"a{self._parent(number, relays)}" if relays else ""
-            return View(members, silent, parent=parent, others=others, listed=listed)
+            return View(
+                members,
+                silent,
+                parent=parent,
+                other_instances=others,
+                listed_at_startup=listed,
+            )
         followers = {
             f"i{n}": self.member(n, relay=False)
             for n in seen
             if n >= self.RELAYS and self._parent(n, relays) == number
         }
         others -= len(followers)
-        return View(members, silent, followers, others=others, listed=listed)
+        return View(
+            members, silent, followers, other_instances=others, listed_at_startup=listed
+        )
 
     def _parent(self, number, relays):
         own = number % self.RELAYS
--- a/tests/test_hierarchical.py
+++ b/tests/test_hierarchical.py
@@ -231,12 +231,12 @@
             await asyncio.sleep(0.01)
             await instance.handle(Tick())
             view = views[-1].view
-            assert (view.size, view.likely_size) == (1, 3)
+            assert (view.size, view.expected_size) == (1, 3)
             loop = asyncio.get_running_loop()
             began = loop.time()
             loop.time = lambda: began + STARTUP_S
             await instance.handle(Tick())
-            assert views[-1].view.likely_size == 1
+            assert views[-1].view.expected_size == 1
         finally:
             loop.__dict__.pop("time", None)
             await instance.stop()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -27,16 +27,16 @@
         for now in (1.0, 2.0, 3.0, 4.0):
             tracker.remove_silent(now)
         assert set(tracker.view(OWN, {"x"}).members) == {"own"}
-        assert tracker.view(OWN, {"x"}).doubtful
-        assert tracker.view(OWN, None).doubtful
-        assert not tracker.view(OWN, {"own"}).doubtful
+        assert tracker.view(OWN, {"x"}).has_unreachable
+        assert tracker.view(OWN, None).has_unreachable
+        assert not tracker.view(OWN, {"own"}).has_unreachable
 
     def test_a_refused_connection_means_that_the_member_is_dead(self):
         tracker = HeartbeatTracker("own", 3.0)
         tracker.record_heartbeat(heartbeat(), 0.0)
         tracker.remove_refused("a:1", 0.0)
         view = tracker.view(OWN, {"x"})
-        assert set(view.members) == {"own"} and not view.doubtful
+        assert set(view.members) == {"own"} and not view.has_unreachable
         tracker.record_heartbeat(heartbeat(), 0.1)
         assert set(tracker.view(OWN).members) == {"own"}, "late heartbeat of the dead"
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -132,10 +132,10 @@
         relays = {name: _member(name) for name in ("r1", "r2")}
         followers = {name: _member(name, False) for name in ("f1", "f2")}
         await region.set_views(
-            r1=View(relays, followers={"f1": followers["f1"]}, others=1),
-            r2=View(relays, followers={"f2": followers["f2"]}, others=1),
-            f1=View({**relays, "f1": followers["f1"]}, parent="r1", others=1),
-            f2=View({**relays, "f2": followers["f2"]}, parent="r2", others=1),
+            r1=View(relays, followers={"f1": followers["f1"]}, other_instances=1),
+            r2=View(relays, followers={"f2": followers["f2"]}, other_instances=1),
+            f1=View({**relays, "f1": followers["f1"]}, parent="r1", other_instances=1),
+            f2=View({**relays, "f2": followers["f2"]}, parent="r2", other_instances=1),
         )
         await region.crash_thrice("f1", "f2", "r1")
         assert region.holds() == [True] * 4
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -196,10 +196,12 @@
         for n, keeper in enumerate(fleet.keepers):
             if n < 2:
                 followers = {f"i{m}": _member(m) for m in (n + 2, n + 4)}
-                view = View(relays, followers=followers, others=2)
+                view = View(relays, followers=followers, other_instances=2)
             else:
                 view = View(
-                    {**relays, f"i{n}": _member(n)}, parent=f"a{n % 2}", others=3
+                    {**relays, f"i{n}": _member(n)},
+                    parent=f"a{n % 2}",
+                    other_instances=3,
                 )
             await keeper.handle(ViewChanged(view))
         fleet.now += 20.0
@@ -264,7 +266,7 @@
         await self._settle(fleet)
         moved = fleet.keepers[2]
         relays = {f"i{n}": _member(n) for n in (0, 1)}
-        view = View({**relays, "i2": _member(2)}, parent="a1", others=3)
+        view = View({**relays, "i2": _member(2)}, parent="a1", other_instances=3)
         await moved.handle(ViewChanged(view))
         followers = {f"i{m}": _member(m) for m in (2, 3, 5)}
         await fleet.keepers[1].handle(ViewChanged(View(relays, followers=followers)))
