--- a/hibiscusstep/forwarding/planning.py
+++ b/hibiscusstep/forwarding/planning.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from hibiscusstep.forwarding.ignored_count import LeftOut
+from hibiscusstep.forwarding.left_out import LeftOut
 from hibiscusstep.forwarding.model import DiscoveredTarget, RoutingTable
 from hibiscusstep.rollout.controller import PlannedRollout
 from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
--- a/hibiscusstep/platform/client.py
+++ b/hibiscusstep/platform/client.py
@@ -17,7 +17,7 @@
     PlatformNotFound,
     PlatformUnavailable,
 )
-from hibiscusstep.forwarding.ignored_count import LeftOut
+from hibiscusstep.forwarding.left_out import LeftOut
 from hibiscusstep.platform import fields as f
 from hibiscusstep.platform.documents import ROLLOUT_KIND, rollout_status
 from hibiscusstep.platform.eras import EraTracker, join_revision, split_revision
