--- a/examples/slopes.py
+++ b/examples/slopes.py
@@ -20,14 +20,14 @@
 from hibiscusstep import codec, peer
 from hibiscusstep.claims.index import ClaimIndex, ClaimResult
 from hibiscusstep.claims.records import ClaimHead, ClaimRecord
-from hibiscusstep.claims.shard import Pending, ShardWriter
+from hibiscusstep.claims.shard import PendingRequest, ShardWriter
 from hibiscusstep.configuration.models import load_configuration
 from hibiscusstep.configuration.settings import Settings
-from hibiscusstep.configuration.stored import CONFIGURATION_KEY, Stored
-from hibiscusstep.entry import Entry
+from hibiscusstep.configuration.stored import CONFIGURATION_KEY, StoredConfiguration
+from hibiscusstep.instance import Instance
 from hibiscusstep.log import decision, set_up_logging
-from hibiscusstep.membership.grouped import GroupedMembership
-from hibiscusstep.membership.worker import Membership, OwnState
+from hibiscusstep.membership.hierarchical import HierarchicalMembership
+from hibiscusstep.membership.mesh import MeshMembership, OwnStateChange
 from hibiscusstep.peerlink import Authenticator, PeerLinks
 from hibiscusstep.platform.settings import HEARTBEAT_INTERVAL_S, SUSPECT_AFTER_S
 from hibiscusstep.routing import messages as m
@@ -61,7 +61,7 @@
                 asyncio.create_task(link.run()),
                 asyncio.create_task(membership.run()),
             ]
-            membership.tell(OwnState(version=1, ready=True))
+            membership.tell(OwnStateChange(version=1, ready=True))
         await asyncio.sleep(4.0)
         sent, cpu = sum(link.bytes_sent for link in links), time.process_time()
         await asyncio.sleep(seconds)
@@ -85,17 +85,17 @@
     for count in counts:
         addresses = [f"127.0.0.1:{port}" for port in free_ports(count)]
         platform = MemoryPlatform()
-        platform.records = [
+        platform.instance_records = [
             InstanceRecord(f"n{number}", f"hall-{number % centres}", address)
             for number, address in enumerate(addresses)
         ]
         made = [
-            _member(n, address, addresses[:3], platform, GroupedMembership)
+            _member(n, address, addresses[:3], platform, HierarchicalMembership)
             for n, address in enumerate(addresses)
         ]
         tasks = [asyncio.create_task(w.run()) for pair in made for w in pair]
         for _link, worker in made:
-            worker.tell(OwnState(version=1, ready=True))
+            worker.tell(OwnStateChange(version=1, ready=True))
         await asyncio.sleep(6.0)
         before, cpu = [link.bytes_sent for link, _ in made], time.process_time()
         await asyncio.sleep(seconds)
@@ -116,14 +116,14 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def _member(number, address, seeds, platform=None, kind=Membership):
+def _member(number, address, seeds, platform=None, kind=MeshMembership):
     ports = (1, 2, address.rpartition(":")[2])
     settings = _settings(number, ports, seeds[0].rpartition(":")[2])
     if platform:
         settings = settings.model_copy(
             update={
-                "name": platform.records[number].name,
-                "data_centre": platform.records[number].data_centre,
+                "name": platform.instance_records[number].name,
+                "data_centre": platform.instance_records[number].data_centre,
                 "heartbeat_interval": HEARTBEAT_INTERVAL_S,
                 "suspect_after": SUSPECT_AFTER_S,
             }
@@ -271,7 +271,7 @@
         assert verdict.result is ClaimResult.CONFIRMED
         waits.append(loop.time() - asked)
 
-    writer.add(Pending(_record(number), "", False, asked + 60, reply))
+    writer.add(PendingRequest(_record(number), "", False, asked + 60, reply))
 
 
 def _claim_memory():
@@ -282,7 +282,7 @@
         gc.collect()
         tracemalloc.start()
         index = ClaimIndex(86_400)
-        index.take_head(codec.decode(ClaimHead, encoded), 1)
+        index.apply_head(codec.decode(ClaimHead, encoded), 1)
         index.head = ClaimHead()
         gc.collect()
         held = tracemalloc.get_traced_memory()[0]
@@ -304,10 +304,12 @@
     for customers, targets in ((5, 50), (100, 300), (390, 1100)):
         files = _small_files(pool_configuration(targets, customers))
         begun = time.process_time()
-        Stored(files=files).load()
+        StoredConfiguration(files=files).load()
         first = time.process_time() - begun
         name = next(iter(files))
-        changed = Stored(files={**files, name: files[name] + " // changed"})
+        changed = StoredConfiguration(
+            files={**files, name: files[name] + " // changed"}
+        )
         begun = time.process_time()
         changed.load()
         again = time.process_time() - begun
@@ -339,7 +341,7 @@
         version = await _put(platform, data, 0)
         ports = free_ports(3 * count)
         entries = [
-            Entry(_settings(n, ports[3 * n : 3 * n + 3], ports[2]), platform)
+            Instance(_settings(n, ports[3 * n : 3 * n + 3], ports[2]), platform)
             for n in range(count)
         ]
         tasks = [asyncio.create_task(entry.run()) for entry in entries]
@@ -361,7 +363,7 @@
 
 
 async def _put(platform, data, version):
-    value = Stored(files={"a.json": json.dumps(data)}).to_bytes()
+    value = StoredConfiguration(files={"a.json": json.dumps(data)}).to_bytes()
     return (await platform.put(CONFIGURATION_KEY, value, version)).unwrap()
 
 
--- a/hibiscusstep/forwarding/environment.py
+++ b/hibiscusstep/forwarding/environment.py
@@ -8,12 +8,12 @@
 from hibiscusstep.forwarding.dialect import Dialect
 from hibiscusstep.forwarding.model import RoutingTable
 from hibiscusstep.store import (
-    BeliefStore,
+    EstimateStore,
     Feed,
+    InstanceDirectory,
     RolloutStore,
-    Roster,
     SuspectStore,
-    UseStore,
+    UsageStore,
 )
 
 __all__ = ["InstanceEnvironment"]
@@ -35,11 +35,11 @@
         Reads and writes the platform's header fields.
     tables, targets : Feed
         The configuration and the targets' entries in the store.
-    roster : Roster
+    roster : InstanceDirectory
         Registered instances.
-    beliefs : BeliefStore
+    beliefs : EstimateStore
         Persists the dispatchers' estimates of targets.
-    use : UseStore
+    use : UsageStore
         Persists the customers' usage of their quotas.
     suspects : SuspectStore
         Persists which requests crash targets.
@@ -67,9 +67,9 @@
     dialect: Dialect
     tables: Feed
     targets: Feed
-    roster: Roster
-    beliefs: BeliefStore
-    use: UseStore
+    roster: InstanceDirectory
+    beliefs: EstimateStore
+    use: UsageStore
     suspects: SuspectStore
     rollouts: RolloutStore
     register: Callable
--- a/hibiscusstep/forwarding/grant_client.py
+++ b/hibiscusstep/forwarding/grant_client.py
@@ -8,7 +8,13 @@
 from hibiscusstep.forwarding.quarantine_status import QuarantineStatus
 from hibiscusstep.forwarding.quota_request import QUOTA_RETRY_S
 from hibiscusstep.forwarding.stream_timing import StreamTiming
-from hibiscusstep.grants import Ended, Granted, GrantRequest, Refused, Started
+from hibiscusstep.grant_messages import (
+    FirstTokenReceived,
+    Granted,
+    GrantRequest,
+    Refused,
+    RequestEnded,
+)
 from hibiscusstep.mailbox import MailboxFull
 from hibiscusstep.peer import WorkInfo
 from hibiscusstep.routing import messages as m
@@ -227,7 +233,7 @@
         if self._grant is not None:
             seconds = self._now() - self.granted_at
             self._context.desk.tell(
-                Started(self._incoming.pool, self._grant.ask, seconds)
+                FirstTokenReceived(self._incoming.pool, self._grant.ask, seconds)
             )
 
     def release_grant(
@@ -249,7 +255,7 @@
         """
         if self._grant is None:
             return
-        ended = Ended(
+        ended = RequestEnded(
             self._incoming.pool,
             self._grant.ask,
             outcome,
--- a/hibiscusstep/forwarding/incoming_request.py
+++ b/hibiscusstep/forwarding/incoming_request.py
@@ -6,8 +6,8 @@
 import xxhash
 from aiohttp import web
 
-from hibiscusstep.desk import Desk
-from hibiscusstep.dispatching import Dispatching
+from hibiscusstep.dispatch_client import DispatchClient
+from hibiscusstep.dispatcher_host import DispatcherHost
 from hibiscusstep.forwarding.connections import ConnectionPool
 from hibiscusstep.forwarding.dialect import Dialect, RequestHead
 from hibiscusstep.forwarding.fingerprint import fingerprint
@@ -113,9 +113,9 @@
         Location of this instance.
     dialect : Dialect
         Reads and writes header fields.
-    desk : Desk
+    desk : DispatchClient
         Obtains grants from dispatchers.
-    dispatching : Dispatching
+    dispatching : DispatcherHost
         Receives the load that targets report.
     connections : ConnectionPool
         Connections to targets.
@@ -136,8 +136,8 @@
     instance: str
     data_centre: str
     dialect: Dialect
-    desk: Desk
-    dispatching: Dispatching
+    desk: DispatchClient
+    dispatching: DispatcherHost
     connections: ConnectionPool
     retries: WindowedRetryBudget
     targets: dict[str, DiscoveredTarget]
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -10,10 +10,10 @@
 
 from aiohttp import web
 
-from hibiscusstep.clock import SuspensionWatch
-from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.desk import Desk
-from hibiscusstep.dispatching import Dispatching
+from hibiscusstep.clock import SuspensionDetector
+from hibiscusstep.configuration.in_force import ConfigurationInForce
+from hibiscusstep.dispatch_client import DispatchClient
+from hibiscusstep.dispatcher_host import DispatcherHost
 from hibiscusstep.errors import ConfigurationError
 from hibiscusstep.forwarding.bounds import Bounds
 from hibiscusstep.forwarding.caller_frontend import CallerFrontend
@@ -41,11 +41,11 @@
 from hibiscusstep.forwarding.target_estimates import EstimateKeeper
 from hibiscusstep.forwarding.target_messages import from_target_states
 from hibiscusstep.forwarding.windowed_retry_budget import WindowedRetryBudget
-from hibiscusstep.log import decision, dropped_lines, keep_flushing
+from hibiscusstep.log import count_dropped_lines, decision, flush_periodically
 from hibiscusstep.mailbox import Worker
-from hibiscusstep.membership.grouped import GroupedMembership
+from hibiscusstep.membership.hierarchical import HierarchicalMembership
+from hibiscusstep.membership.mesh import OwnStateChange, ViewChanged
 from hibiscusstep.membership.view import View
-from hibiscusstep.membership.worker import OwnState, ViewChanged
 from hibiscusstep.peer import (
     Beat,
     ConfigurationAsk,
@@ -77,7 +77,7 @@
 from hibiscusstep.peerlink import LinkLost, PeerLinks
 from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 from hibiscusstep.store import Change, StoreRestored
-from hibiscusstep.supervisor import Child, Restart, Supervisor
+from hibiscusstep.supervisor import Child, RestartPolicy, Supervisor
 
 __all__ = ["ForwardingInstance"]
 
@@ -123,7 +123,7 @@
         self._environment = environment
         self._settings = environment.settings
         self._incarnation = secrets.token_hex(6)
-        self._view = View(settled=False)
+        self._view = View(role_known=False)
         self._table: RoutingTable | None = None
         self._targets: dict[str, DiscoveredTarget] = {}
         self._planner = Planner()
@@ -201,11 +201,11 @@
         children = [
             *(Child(worker.name, worker.run) for worker in self._workers),
             Child("sweeper", self._sweep),
-            Child("log", keep_flushing),
-            Child("registration", self._register, Restart.TRANSIENT),
+            Child("log", flush_periodically),
+            Child("registration", self._register, RestartPolicy.TRANSIENT),
             Child("metrics", self._serve_metrics),
-            Child("readiness", self._serve_readiness, Restart.ESSENTIAL),
-            Child("callers", self._serve_callers, Restart.ESSENTIAL),
+            Child("readiness", self._serve_readiness, RestartPolicy.ESSENTIAL),
+            Child("callers", self._serve_callers, RestartPolicy.ESSENTIAL),
         ]
         decision(
             "start",
@@ -234,7 +234,7 @@
         now = asyncio.get_running_loop().time()
         decision("stop", open=self._frontend.open_requests, grace=grace)
         self._leaving = True
-        self._membership.tell(OwnState(leaving=True))
+        self._membership.tell(OwnStateChange(leaving=True))
         self._frontend.begin_drain(now, now + grace - STOP_MARGIN_S)
         await asyncio.sleep(min(MAX_DRAIN_LISTEN_S, grace / 2))
         try:
@@ -271,7 +271,7 @@
         address, incarnation = settings.peer_address, self._incarnation
         bounds = self._environment.bounds
         self._links = PeerLinks(address, settings.peer_key, self._deliver_message)
-        self._membership = GroupedMembership(
+        self._membership = HierarchicalMembership(
             settings,
             incarnation,
             self._links,
@@ -297,24 +297,26 @@
         )
         self._estimate_keeper = EstimateKeeper(
             self._environment.beliefs,
-            lambda estimates: self._dispatching.tell(estimates),
+            lambda estimates: self._dispatcher_host.tell(estimates),
         )
         self._rollouts = RolloutCoordinator(
             name, address, self._links, self._environment.rollouts, self._publish_plan
         )
-        self._dispatching = Dispatching(
+        self._dispatcher_host = DispatcherHost(
             name,
             address,
             self._links,
             self._deliver_message,
             None,
-            kind=partial(SlotDispatcher, switches=settings.switches),
-            reads_reports=False,
-            serves_itself=True,
-            kept=self._estimate_keeper.tell if settings.switches.kept_beliefs else None,
+            dispatcher_class=partial(SlotDispatcher, switches=settings.switches),
+            polls_load=False,
+            has_standby=True,
+            keep_estimates=self._estimate_keeper.tell
+            if settings.switches.kept_beliefs
+            else None,
             on_rollout=self._rollouts.tell,
         )
-        self._desk = Desk(
+        self._dispatch_client = DispatchClient(
             name,
             incarnation,
             address,
@@ -340,8 +342,8 @@
             name,
             settings.data_centre,
             self._environment.dialect,
-            self._desk,
-            self._dispatching,
+            self._dispatch_client,
+            self._dispatcher_host,
             self._connections,
             self._retries,
             self._targets,
@@ -355,8 +357,8 @@
             self._links,
             self._membership,
             self._catalog,
-            self._dispatching,
-            self._desk,
+            self._dispatcher_host,
+            self._dispatch_client,
             self._quotas,
             self._kept_use,
             self._quarantine,
@@ -368,7 +370,7 @@
     def _map_receivers(self) -> dict[type, Worker]:
         table = {
             self._membership: (Heartbeat, Beat, Relays),
-            self._dispatching: (
+            self._dispatcher_host: (
                 PoolAsk,
                 PoolWithdraw,
                 PoolFirstToken,
@@ -377,7 +379,7 @@
                 PoolLearnt,
                 PoolRegister,
             ),
-            self._desk: (
+            self._dispatch_client: (
                 PoolGrant,
                 PoolInquire,
                 PoolQueued,
@@ -394,7 +396,7 @@
     def _deliver_message(self, message: Received | LinkLost) -> None:
         """Deliver a message from a peer or a local task to its worker."""
         if isinstance(message, LinkLost):
-            self._desk.tell(message)
+            self._dispatch_client.tell(message)
             self._membership.tell(message)
             return
         match message.message:
@@ -411,10 +413,10 @@
 
     def _on_view(self, changed: ViewChanged) -> None:
         self._view = changed.view
-        self._retries.instances = changed.view.likely_size
+        self._retries.instances = changed.view.expected_size
         for worker in (
-            self._dispatching,
-            self._desk,
+            self._dispatcher_host,
+            self._dispatch_client,
             self._quotas,
             self._quarantine,
             self._rollouts,
@@ -425,9 +427,9 @@
 
     def _choose_target_source(self) -> None:
         """Follow the store, unless a relay does so for this instance."""
-        if not self._follows_store or not self._view.settled:
+        if not self._follows_store or not self._view.role_known:
             return
-        has_relay = self._view.parent and self._view.attached
+        has_relay = self._view.parent and self._view.receives_updates
         relay_timed_out = not self.ready and self._uptime() > RELAY_TIMEOUT_S
         self._catalog.tell(SetFollowing(not has_relay or relay_timed_out))
 
@@ -466,10 +468,10 @@
         plan = self._planner.build_plan(
             self._table, self._targets, self._planned_versions
         )
-        in_force = InForce(self._table.version, b"", plan)
-        self._dispatching.tell(in_force)
-        self._desk.tell(in_force)
-        self._membership.tell(OwnState(version=self._table.version))
+        in_force = ConfigurationInForce(self._table.version, b"", plan)
+        self._dispatcher_host.tell(in_force)
+        self._dispatch_client.tell(in_force)
+        self._membership.tell(OwnStateChange(version=self._table.version))
 
     def _planned_versions(
         self, pool: str, present_versions: set[str]
@@ -510,7 +512,7 @@
 
     async def _sweep(self) -> None:
         eligible = False
-        suspensions = SuspensionWatch()
+        suspensions = SuspensionDetector()
         for sweep_number in itertools.count(1):
             await asyncio.sleep(SWEEP_INTERVAL_S)
             self._connections.sweep()
@@ -521,7 +523,7 @@
                 self._distributor.send_all_targets_to_followers()
             if self._uptime() >= ELIGIBLE_AFTER_S and not eligible and self.ready:
                 eligible = True
-                self._membership.tell(OwnState(ready=True))
+                self._membership.tell(OwnStateChange(ready=True))
 
     def _record_suspension(self, seconds: float) -> None:
         if seconds:
@@ -545,7 +547,9 @@
         app = web.Application()
         app.router.add_get("/metrics", self._handle_metrics)
         add_quarantine_routes(app, self._quarantine)
-        add_rollout_routes(app, self._rollouts, lambda: self._dispatching.rollouts)
+        add_rollout_routes(
+            app, self._rollouts, lambda: self._dispatcher_host.rollout_summaries
+        )
         while True:
             try:
                 await serve(app, self._settings.operator_address)
@@ -564,18 +568,20 @@
         metrics.set_gauge("configuration_version", self.version)
         metrics.set_gauge("members", self._view.size)
         metrics.set_gauge("followers", len(self._view.followers))
-        metrics.set_gauge("silent_members", self._view.silent)
+        metrics.set_gauge("silent_members", self._view.unreachable)
         metrics.set_gauge("connections_opened", self._connections.opened)
-        metrics.set_gauge("log_lines_dropped", dropped_lines())
+        metrics.set_gauge("log_lines_dropped", count_dropped_lines())
         metrics.set_gauge("requests_suspected", self._quarantine.suspected_count)
         metrics.set_gauge("requests_quarantined", self._quarantine.quarantined_count)
-        for pool, count in self._dispatching.overdue.items():
+        for pool, count in self._dispatcher_host.overdue_slots.items():
             metrics.set_gauge("slots_overdue", count, pool=pool)
-        for pool, state in self._dispatching.rollouts.items():
+        for pool, state in self._dispatcher_host.rollout_summaries.items():
             for name in _ROLLOUT_GAUGES:
                 labels = {"pool": pool, "version": state["version"]}
                 metrics.set_gauge(f"rollout_{name}", state[name], **labels)
-        left_out = self._environment.targets.left_out + self._planner.ignored_targets
+        left_out = (
+            self._environment.targets.ignored_count + self._planner.ignored_targets
+        )
         metrics.set_gauge("target_entries_left_out", left_out)
         metrics.set_gauge("table_age_seconds", self._catalog.seconds_since_answer())
         states = Counter(
--- a/hibiscusstep/forwarding/quarantine.py
+++ b/hibiscusstep/forwarding/quarantine.py
@@ -15,9 +15,9 @@
 )
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Tick, Worker
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.neighbours import Neighbours
 from hibiscusstep.membership.view import View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import Received, SuspectState, SuspectStates
 from hibiscusstep.store import StoreRestored, SuspectStore
 
@@ -62,7 +62,7 @@
         self._store = store
         self._detector = CrashDetector(connections, self._record_crash)
         self._table = SuspectTable()
-        self._view = View(settled=False)
+        self._view = View(role_known=False)
         self._neighbours = Neighbours(address, links)
         self._ticks = 0
         self._is_read = False
@@ -186,17 +186,17 @@
                     crashes=self._table.weights(fingerprint),
                     told_by=sender,
                 )
-        self._send(changed, self._neighbours.beyond(sender))
+        self._send(changed, self._neighbours.forward_addresses(sender))
 
     def _apply_view(self, view: View) -> None:
         """Apply a view and send all states to new neighbours."""
         self._view = view
-        new = self._neighbours.take_view(view)
+        new = self._neighbours.apply_view(view)
         self._send(self._table.all_states(_now()), new)
 
     def _send(self, states: list[SuspectState], addresses: Iterable[str]) -> None:
         if states:
-            self._neighbours.tell(SuspectStates(states), addresses)
+            self._neighbours.send(SuspectStates(states), addresses)
 
     def _on_tick(self) -> None:
         now = _now()
@@ -205,7 +205,7 @@
         self._detector.forget_old(now)
         if self._ticks % RESEND_INTERVAL_TICKS == 0:
             self._send(self._table.recent_states(now), self._neighbours.addresses)
-        is_writer = self._view.settled and self._view.has_duty(_DUTY, self._address)
+        is_writer = self._view.role_known and self._view.has_duty(_DUTY, self._address)
         if is_writer and (self._store_task is None or self._store_task.done()):
             # A task, so that a store that does not answer blocks no peer messages.
             self._store_task = asyncio.create_task(self._sync_with_store())
--- a/hibiscusstep/forwarding/quota.py
+++ b/hibiscusstep/forwarding/quota.py
@@ -19,8 +19,8 @@
 from hibiscusstep.forwarding.usage import UsageLedger
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Tick, Worker
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import Received, Usage, UsageAsk, UsageHistory, UsageScope
 from hibiscusstep.peerlink import Send
 from hibiscusstep.store import StoreRestored
@@ -204,7 +204,7 @@
         """Request the saved usage unless there is a relay or the window is known."""
         if self._use_store is None or self._ledger.knows_window(now):
             return
-        if self._view.settled and not self._view.parent:
+        if self._view.role_known and not self._view.parent:
             self._use_store.tell(ReadUse())
 
     def _query(self, address: str) -> None:
--- a/hibiscusstep/forwarding/reachability.py
+++ b/hibiscusstep/forwarding/reachability.py
@@ -1,6 +1,6 @@
 """hibiscusstep.forwarding.reachability: number of instances that share a quota."""
 
-from hibiscusstep.membership.tracker import FORGET_DOUBT_S
+from hibiscusstep.membership.tracker import UNREACHABLE_LIFETIME_S
 from hibiscusstep.membership.view import View
 
 __all__ = ["Reachability"]
@@ -8,7 +8,7 @@
 # How long the number of instances reported at the start counts. A peer's number counts
 # as long as the peer's own doubt about silent members; the store's counts for two quota
 # windows only, because its list also names instances that have ended.
-PEER_COUNT_LIFETIME_S = FORGET_DOUBT_S
+PEER_COUNT_LIFETIME_S = UNREACHABLE_LIFETIME_S
 STORE_COUNT_LIFETIME_S = 16.0
 # Time in which a new instance discovers all live and reachable peers.
 DISCOVERY_S = 1.0
@@ -50,19 +50,19 @@
     def likely_size(self) -> int:
         """Number of sharing instances; the store's count while alone at the start."""
         size = self._view.size
-        return max(1, size if size > 1 else self._view.likely_size)
+        return max(1, size if size > 1 else self._view.expected_size)
 
     def unreachable_count(self, now: float) -> int:
         """Return how many unreachable instances may be alive and use their share."""
         if now - self._started_at < DISCOVERY_S or now >= self._reported_until:
-            return self._view.silent
-        return max(self._view.silent, self._reported_count - self._view.size)
+            return self._view.unreachable
+        return max(self._view.unreachable, self._reported_count - self._view.size)
 
     def apply_view(self, view: View, now: float) -> None:
         """Apply a view and the number of instances in the store's list."""
         self._view = view
-        if not self._reported_by_peer and view.listed > self._reported_count:
-            self._reported_count = view.listed
+        if not self._reported_by_peer and view.listed_at_startup > self._reported_count:
+            self._reported_count = view.listed_at_startup
             self._reported_until = now + STORE_COUNT_LIFETIME_S
 
     def apply_reported_count(self, instances: int, now: float) -> None:
--- a/hibiscusstep/forwarding/rollouts.py
+++ b/hibiscusstep/forwarding/rollouts.py
@@ -16,13 +16,13 @@
 )
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Tick, Worker
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.neighbours import Neighbours
-from hibiscusstep.membership.view import View, rendezvous
-from hibiscusstep.membership.worker import ViewChanged
+from hibiscusstep.membership.view import View, rendezvous_hash
 from hibiscusstep.peer import Received, RolloutRecord, RolloutRecords, RolloutWrite
 from hibiscusstep.rollout.order import RolloutOrder, RolloutState
 from hibiscusstep.rollout.rollout_update import RolloutUpdate
-from hibiscusstep.store import HistoryLost, RolloutStore
+from hibiscusstep.store import RevisionExpired, RolloutStore
 
 __all__ = ["RolloutCoordinator", "TargetsChanged"]
 
@@ -122,7 +122,7 @@
         self._own_name = name
         self._store = store
         self._on_change = on_change
-        self._view = View(settled=False)
+        self._view = View(role_known=False)
         self._neighbours = Neighbours(address, links)
         self._follow_task: asyncio.Task | None = None
         self._read_task: asyncio.Task | None = None
@@ -280,14 +280,14 @@
             self._on_change()
             self._send_records(
                 self.version_table.records(now, to_send),
-                self._neighbours.beyond(sender),
+                self._neighbours.forward_addresses(sender),
             )
         for pool in changed:
             self._write_status(pool)
 
     def _update_view(self, view: View, now: float) -> None:
         self._view = view
-        new = self._neighbours.take_view(view)
+        new = self._neighbours.apply_view(view)
         self._send_records(self.version_table.records(now), new)
         self._update_following()
 
@@ -295,19 +295,19 @@
         self, records: list[RolloutRecord], addresses: Iterable[str]
     ) -> None:
         if records:
-            self._neighbours.tell(RolloutRecords(records), addresses)
+            self._neighbours.send(RolloutRecords(records), addresses)
 
     def _dispatches(self, pool: str) -> bool:
-        return self._view.dispatcher(pool) == self._own_name
+        return self._view.dispatcher_of(pool) == self._own_name
 
     # Following the store.
 
     def _update_following(self) -> None:
         """Start or stop watching the store as the view requires."""
         view = self._view
-        chosen = rendezvous(view.eligible, _RENDEZVOUS_KEY, STORE_FOLLOWERS)
+        chosen = rendezvous_hash(view.eligible, _RENDEZVOUS_KEY, STORE_FOLLOWERS)
         # Until the view is settled, instances read the store only if they have to.
-        follows = view.settled and (
+        follows = view.role_known and (
             self._own_name in chosen or any(map(self._dispatches, self.version_table))
         )
         if follows and self._follow_task is None:
@@ -330,7 +330,7 @@
                 if changes:
                     self.tell(_Changed(changes))
                 continue
-            if not isinstance(watched.unwrap_err(), HistoryLost):
+            if not isinstance(watched.unwrap_err(), RevisionExpired):
                 await asyncio.sleep(RETRY_S * (0.5 + random.random()))
             revision = None
 
@@ -410,7 +410,7 @@
         if state and others and self._dispatches(pool):
             order = entry.order
             request = RolloutWrite(pool, order.revision, order.version, str(state))
-            self._neighbours.tell(request, [random.choice(others)])
+            self._neighbours.send(request, [random.choice(others)])
 
     def _write_for_peer(self, request: RolloutWrite) -> None:
         """Write a status for a dispatcher that cannot reach the store."""
@@ -450,7 +450,7 @@
             began = time.time() - (_now() - entry.began)
             saved = SavedRollout(entry.order.version, began, entry.progress)
             document = to_document(saved)
-            written = await self._store.write_kept(pool, document)
+            written = await self._store.write_progress(pool, document)
             if written.is_err():
                 decision("rollout-not-kept", pool=pool, error=str(written.unwrap_err()))
 
@@ -460,7 +460,7 @@
             self._save_task = asyncio.create_task(self._read_saved(pool))
 
     async def _read_saved(self, pool: str) -> None:
-        reply = await self._store.read_kept(pool)
+        reply = await self._store.read_progress(pool)
         if reply.is_err():
             self._saved_requested.discard(pool)
             return
--- a/hibiscusstep/forwarding/saved_usage.py
+++ b/hibiscusstep/forwarding/saved_usage.py
@@ -10,7 +10,7 @@
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Tick, Worker
 from hibiscusstep.peer import Usage, UsageScope
-from hibiscusstep.store import UseStore
+from hibiscusstep.store import UsageStore
 
 __all__ = [
     "ReadUse",
@@ -133,7 +133,7 @@
 
     Parameters
     ----------
-    store : UseStore
+    store : UsageStore
         Holds the document.
     span : float
         Length of the quota window in seconds.
@@ -142,7 +142,7 @@
     """
 
     def __init__(
-        self, store: UseStore, span: float, on_read: Callable[[SavedUsage], None]
+        self, store: UsageStore, span: float, on_read: Callable[[SavedUsage], None]
     ) -> None:
         super().__init__("kept-use", tick_interval=RETRY_INTERVAL_S)
         self._store = store
--- a/hibiscusstep/forwarding/target_estimates.py
+++ b/hibiscusstep/forwarding/target_estimates.py
@@ -7,7 +7,7 @@
 from hibiscusstep.log import decision
 from hibiscusstep.mailbox import Tick, Worker
 from hibiscusstep.peer import PoolLearnt
-from hibiscusstep.store import BeliefStore
+from hibiscusstep.store import EstimateStore
 
 __all__ = ["EstimateKeeper"]
 
@@ -28,14 +28,14 @@
 
     Parameters
     ----------
-    store : BeliefStore
+    store : EstimateStore
         Stores one document per pool.
     found : callable of PoolLearnt
         Receives each document that was read.
     """
 
     def __init__(
-        self, store: BeliefStore, on_read: Callable[[PoolLearnt], None]
+        self, store: EstimateStore, on_read: Callable[[PoolLearnt], None]
     ) -> None:
         super().__init__("beliefs", tick_interval=STORE_INTERVAL_S)
         self._store = store
--- a/hibiscusstep/load/compare.py
+++ b/hibiscusstep/load/compare.py
@@ -10,11 +10,11 @@
 import orjson
 
 from hibiscusstep.configuration.change import apply_change, read_stored
-from hibiscusstep.configuration.stored import Stored
+from hibiscusstep.configuration.stored import StoredConfiguration
 from hibiscusstep.load.drive import Driver
 from hibiscusstep.load.mix import Mix, arrivals
 from hibiscusstep.load.report import Report, make_report
-from hibiscusstep.operations import OperatorClient
+from hibiscusstep.operator_client import OperatorClient
 from hibiscusstep.store import Platform
 
 __all__ = ["Deployment", "Run", "compare", "summarize"]
@@ -151,7 +151,7 @@
         """Put a policy into force; return the engines' URLs by name."""
         platform = self._deployment.platform
 
-        def edit(stored: Stored) -> Stored:
+        def edit(stored: StoredConfiguration) -> StoredConfiguration:
             pools = stored.load().pools
             tree = {"pools": {name: {"policy": policy} for name in pools}}
             files = {**stored.files, POLICY_FILE: orjson.dumps(tree).decode()}
@@ -159,7 +159,7 @@
 
         applied = await apply_change(platform, edit, "compare", log=_silent)
         operator = self._deployment.operator
-        await operator.wait_in_force(applied.version, IN_FORCE_TIMEOUT_S, _silent)
+        await operator.wait_until_in_force(applied.version, IN_FORCE_TIMEOUT_S, _silent)
         _version, stored = await read_stored(platform)
         return {
             name: f"http://{target.address}"
--- a/hibiscusstep/log.py
+++ b/hibiscusstep/log.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.log: set-up of the standard logging, for people or as JSON lines."""
+"""hibiscusstep.log: sets up standard logging as text or as JSON lines."""
 
 import asyncio
 import logging
@@ -10,22 +10,22 @@
 from hibiscusstep.logstream import FLUSH_INTERVAL_S, BoundedHandler
 
 __all__ = [
-    "HumanFormatter",
+    "TextFormatter",
+    "count_dropped_lines",
     "decision",
-    "dropped_lines",
-    "keep_flushing",
+    "flush_periodically",
     "set_up_logging",
 ]
 
 _STANDARD_FIELDS = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime"}
-_DECISIONS = logging.getLogger("hibiscusstep.decision")
+_DECISION_LOG = logging.getLogger("hibiscusstep.decision")
 
 
-class HumanFormatter(logging.Formatter):
-    """One line a record, the extra fields as ``name=value`` behind the message."""
+class TextFormatter(logging.Formatter):
+    """Formats a record as one line with extra fields as ``name=value`` at the end."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the record as text."""
+        """Format the record as text."""
         line = super().format(record)
         extra = " ".join(
             f"{name}={value}"
@@ -38,23 +38,24 @@
 def set_up_logging(
     style: str = "auto", level: str = "INFO", instance: str = "", stream=None
 ) -> logging.Handler:
-    """Send all records to standard error, or JSON lines to a stream that never blocks.
+    """Log to standard error, or as JSON lines to a stream without blocking.
 
     Parameters
     ----------
     style : {'auto', 'human', 'json'}
-        ``auto`` is human on a terminal, JSON elsewhere.
+        ``auto`` selects human if standard error is a terminal, else JSON.
     level : str
-        Name of the lowest level that is written.
+        Name of the minimum level.
     instance : str
         Name of the instance, a field of every JSON record.
     stream : file or None
-        Where JSON lines go, bounded and without blocking; None is standard error.
+        Destination of JSON lines, written by a `BoundedHandler`; None for standard
+        error.
 
     Returns
     -------
     logging.Handler
-        The handler.
+        The installed handler.
     """
     human = style == "human" or (style == "auto" and sys.stderr.isatty())
     if stream is None or human:
@@ -63,7 +64,7 @@
         handler = BoundedHandler(stream.fileno(), time.monotonic)
     if human:
         handler.setFormatter(
-            HumanFormatter("%(asctime)s %(levelname)-7s %(name)s: %(message)s")
+            TextFormatter("%(asctime)s %(levelname)-7s %(name)s: %(message)s")
         )
     else:
         handler.setFormatter(
@@ -81,13 +82,13 @@
     return [h for h in logging.getLogger().handlers if isinstance(h, BoundedHandler)]
 
 
-def dropped_lines() -> int:
-    """Return how many log lines were dropped since the start."""
+def count_dropped_lines() -> int:
+    """Return the number of log lines dropped since the start."""
     return sum(handler.dropped for handler in _bounded_handlers())
 
 
-async def keep_flushing() -> None:
-    """Write waiting log lines until cancelled."""
+async def flush_periodically() -> None:
+    """Flush pending log lines periodically until cancelled."""
     while True:
         await asyncio.sleep(FLUSH_INTERVAL_S)
         for handler in _bounded_handlers():
@@ -100,9 +101,9 @@
     Parameters
     ----------
     kind : str
-        What was decided, e.g. ``"grant"``, ``"refuse"``, ``"drain"``.
+        Kind of decision, e.g. ``"grant"``, ``"refuse"``, ``"drain"``.
     **fields : object
         Request, customer, tier, target, candidates, reason, wait in seconds; `routine`
-        marks what may be left out first when there is too much.
+        marks lines that are dropped first under load.
     """
-    _DECISIONS.info(kind, extra=fields)
+    _DECISION_LOG.info(kind, extra=fields)
--- a/hibiscusstep/platform/client.py
+++ b/hibiscusstep/platform/client.py
@@ -23,16 +23,16 @@
 from hibiscusstep.platform.eras import EraTracker, join_revision, split_revision
 from hibiscusstep.rollout.order import RolloutOrder, RolloutState
 from hibiscusstep.store import (
-    BeliefStore,
     Change,
+    EstimateStore,
     Feed,
-    HistoryLost,
+    InstanceDirectory,
     InstanceRecord,
     Listing,
+    RevisionExpired,
     RolloutStore,
-    Roster,
     SuspectStore,
-    UseStore,
+    UsageStore,
 )
 
 __all__ = [
@@ -55,7 +55,7 @@
 _STATUS_ERRORS = {
     404: PlatformNotFound,
     409: PlatformConflict,
-    410: HistoryLost,
+    410: RevisionExpired,
 }
 _Decoder = Callable[[str, int, dict, dict], object]
 
@@ -224,7 +224,7 @@
         self.name = kind
 
     @property
-    def left_out(self) -> int:
+    def ignored_count(self) -> int:
         """Number of revisions so far that could not be decoded."""
         return self._ignored.count
 
@@ -240,7 +240,7 @@
         return Ok(Listing(usable, join_revision(era, revision), era))
 
     async def watch(self, revision: int, timeout: float):
-        """Return the changes since a revision, or `HistoryLost` after a restore."""
+        """Return the changes since a revision, or `RevisionExpired` after a restore."""
         era, since = split_revision(revision)
         query = {"Watch": str(since), "WaitMs": str(int(timeout * 1000))}
         reply = await self._client.call_in_era(
@@ -307,7 +307,7 @@
         _LOG.error("object left out", extra={**extra, "error": str(cause)})
 
 
-class ObjectRoster(Roster):
+class ObjectRoster(InstanceDirectory):
     """Roster of the instances, which each write an object at their start.
 
     Parameters
@@ -340,7 +340,7 @@
         return await self._client.read_decoded(self._KIND, _parse_record)
 
 
-class ObjectBeliefs(BeliefStore):
+class ObjectBeliefs(EstimateStore):
     """Store with one object per pool, which the pool's dispatcher writes.
 
     Parameters
@@ -389,7 +389,7 @@
         return await self._client.read_one(self._KIND, self._NAME)
 
 
-class ObjectUse(_SingleObjectStore, UseStore):
+class ObjectUse(_SingleObjectStore, UsageStore):
     """Store of the customers' usage."""
 
     _KIND = "hibiscusstep-use"
@@ -446,7 +446,7 @@
             replace(order, revision=since, state=state, state_version=order.version)
         )
 
-    async def write_kept(
+    async def write_progress(
         self, pool: str, document: dict
     ) -> Result[None, PlatformError]:
         """Write the document of a pool."""
@@ -454,7 +454,7 @@
             self._KEPT_KIND, pool, document, ("PUT", "POST")
         )
 
-    async def read_kept(self, pool: str) -> Result[dict | None, PlatformError]:
+    async def read_progress(self, pool: str) -> Result[dict | None, PlatformError]:
         """Return the document of a pool."""
         return await self._client.read_one(self._KEPT_KIND, pool)
 
@@ -504,8 +504,8 @@
         raise ValueError("nested too deeply") from None
 
 
-def _restored_error(step: str) -> HistoryLost:
-    return HistoryLost("restored from an older copy", step=step, peer="store")
+def _restored_error(step: str) -> RevisionExpired:
+    return RevisionExpired("restored from an older copy", step=step, peer="store")
 
 
 def _malformed_error(kind: str, cause: Exception) -> PlatformError:
--- a/hibiscusstep/progress.py
+++ b/hibiscusstep/progress.py
@@ -1,10 +1,10 @@
-"""hibiscusstep.progress: what is known of a request, and what may be said of it."""
+"""hibiscusstep.progress: state of a request and the problem documents it allows."""
 
-from hibiscusstep.admission import Admitted
+from hibiscusstep.admission import AdmittedRequest
 from hibiscusstep.configuration.models import Configuration
 from hibiscusstep.events import EventKind, NullRecorder
 from hibiscusstep.explain import Explainer
-from hibiscusstep.grants import Refused
+from hibiscusstep.grant_messages import Refused
 from hibiscusstep.problem import Outcome, Problem
 from hibiscusstep.routing.messages import RefusalReason
 
@@ -40,7 +40,7 @@
     ),
 }
 
-_KINDS = {
+_EVENT_KINDS = {
     Outcome.NOT_RUN: EventKind.REFUSED,
     Outcome.UNKNOWN: EventKind.UNKNOWN,
     Outcome.FAILED: EventKind.FAILED,
@@ -48,30 +48,30 @@
 
 
 class Progress:
-    """How far a request has come; makes the problem that is true of it.
+    """State of a request, from which its problem documents are made.
 
     Parameters
     ----------
-    admitted : Admitted
+    admitted : AdmittedRequest
         The request.
     configuration : Configuration
-        In force when it was admitted.
+        The configuration in force when it was admitted.
     recorder : NullRecorder
-        Gets the history.
+        Records the history.
     explainer : Explainer
-        Remembers what was decided.
+        Stores decisions for operators.
 
     Attributes
     ----------
     dispatched : bool
-        Whether a byte of it may have reached a target.
+        Whether any byte of it may have reached a target.
     complete : bool
-        Whether a whole answer came.
+        Whether a complete answer was received.
     """
 
     def __init__(
         self,
-        admitted: Admitted,
+        admitted: AdmittedRequest,
         configuration: Configuration,
         recorder: NullRecorder,
         explainer: Explainer,
@@ -79,7 +79,7 @@
         self._admitted = admitted
         self._recorder = recorder
         self._explainer = explainer
-        rule = configuration.rule(admitted.tier)
+        rule = configuration.shedding_rule(admitted.tier)
         self._stoppable = admitted.route.idempotent and rule.may_be_stopped
         self.dispatched = False
         self.complete = False
@@ -96,7 +96,7 @@
             kind,
             request=admitted.request,
             customer=admitted.customer,
-            key=admitted.digest.hex() if admitted.keyed else "",
+            key=admitted.key_digest.hex() if admitted.needs_claim else "",
             pool=admitted.route.pool,
             tier=admitted.tier,
             rank=admitted.rank,
@@ -106,54 +106,54 @@
         )
 
     def explain(self, what: str, **fields) -> None:
-        """Remember a step for operators."""
-        self._explainer.note(
+        """Store a step for operators."""
+        self._explainer.add_step(
             self._admitted.request, self._admitted.customer, what, **fields
         )
 
     def end(self, problem: Problem) -> None:
         """Record that the request ends with a problem."""
-        self.record(_KINDS[problem.outcome], detail=problem.name)
+        self.record(_EVENT_KINDS[problem.outcome], detail=problem.name)
         self.explain(problem.outcome, problem=problem.name, detail=problem.detail)
 
-    def refused(self, refused: Refused) -> Problem:
+    def refused(self, refusal: Refused) -> Problem:
         """Return the problem of a refusal by the dispatcher."""
         if self._may_have_run:
             return self.unknown("It was sent to a target that gave no whole answer.")
-        status, name, detail = _REFUSALS[refused.reason]
+        status, name, detail = _REFUSALS[refusal.reason]
         if self.dispatched:
             detail = f"An attempt broke off, and then: {detail}"
         after = (
-            None if refused.reason is RefusalReason.IMPOSSIBLE else refused.retry_after
+            None if refusal.reason is RefusalReason.IMPOSSIBLE else refusal.retry_after
         )
         return Problem(status, name, detail, self._outcome, after)
 
     def stopped(self) -> Problem:
-        """Return the problem of making way for a higher tier."""
+        """Return the problem of a request that was stopped for a higher tier."""
         self.record(EventKind.STOPPED)
         detail = "It was stopped for a higher tier before its answer was whole."
-        return self._given_up(503, "stopped", detail, 1.0)
+        return self._abandoned(503, "stopped", detail, 1.0)
 
     def caller_left(self) -> Problem:
-        """Return the problem that ends a request whose caller has left."""
-        return self._given_up(499, "caller-left", "The caller left.", None)
+        """Return the problem of a request whose caller disconnected."""
+        return self._abandoned(499, "caller-left", "The caller left.", None)
 
     def timed_out(self) -> Problem:
         """Return the problem of an answer that took too long."""
-        return self._given_up(504, "answer-timeout", "The answer took too long.", 1.0)
+        return self._abandoned(504, "answer-timeout", "The answer took too long.", 1.0)
 
     def failed(self, detail: str) -> Problem:
-        """Return the problem of targets that gave no whole answer."""
+        """Return the problem of targets that gave no complete answer."""
         if self._may_have_run:
             return self.unknown(detail)
         return Problem(502, "target-failed", detail, self._outcome, 1.0)
 
     def unknown(self, detail: str) -> Problem:
-        """Return the problem of an outcome that nobody can know."""
+        """Return the problem of an unknown outcome."""
         return Problem(502, "outcome-unknown", detail, Outcome.UNKNOWN)
 
     def internal(self) -> Problem:
-        """Return the problem of an error of our own."""
+        """Return the problem of an internal error."""
         detail = "An error of the scheduler itself; it is in its log."
         outcome = Outcome.UNKNOWN if self._may_have_run else self._outcome
         after = None if self.dispatched else 1.0
@@ -168,7 +168,7 @@
         """Whether it may have run and may not run twice."""
         return self.dispatched and not self._admitted.route.idempotent
 
-    def _given_up(self, status: int, name: str, detail: str, after) -> Problem:
+    def _abandoned(self, status: int, name: str, detail: str, after) -> Problem:
         if self._may_have_run:
             return self.unknown("It was sent to a target and then given up.")
         return Problem(status, name, detail, self._outcome, after)
--- a/hibiscusstep/routing/policy_dispatcher.py
+++ b/hibiscusstep/routing/policy_dispatcher.py
@@ -386,7 +386,7 @@
         self, queued: QueuedRequest, now: float, reason: m.RefusalReason
     ) -> bool:
         """Refuse a request unless lower tiers must yield first; return if refused."""
-        if not self._configuration.rule(queued.work.tier).may_be_shed:
+        if not self._configuration.shedding_rule(queued.work.tier).may_be_shed:
             return False
         if not self._usable_targets(now) or self._partition_suspected:
             no_capacity_reason = (
--- a/hibiscusstep/targets/service.py
+++ b/hibiscusstep/targets/service.py
@@ -1,17 +1,17 @@
-"""hibiscusstep.targets.service: plain services, passed through."""
+"""hibiscusstep.targets.service: client of plain services, passed through unmodified."""
 
 import aiohttp
 from result import Result
 
 from hibiscusstep.errors import TargetError
-from hibiscusstep.target import Answer, Order
+from hibiscusstep.target import TargetAnswer, TargetRequest
 from hibiscusstep.targets.http import READ_BUFFER_BYTES, HttpTarget
 
 __all__ = ["ServiceAnswer", "ServiceTarget"]
 
 
-class ServiceAnswer(Answer):
-    """A response whose framing (length or last chunk) is its end mark."""
+class ServiceAnswer(TargetAnswer):
+    """A response whose end is detected by its framing (length or last chunk)."""
 
     def __init__(self, response: aiohttp.ClientResponse, target: HttpTarget) -> None:
         self._response = response
@@ -22,7 +22,7 @@
         )
 
     async def chunks(self):
-        """Yield the body; the library checks its framing."""
+        """Yield the body; the HTTP library checks its framing."""
         try:
             async for chunk in self._response.content.iter_chunked(READ_BUFFER_BYTES):
                 yield chunk
@@ -30,11 +30,11 @@
             raise self._target.error(cause, step="read", sent=True) from None
 
     async def cancel(self) -> None:
-        """Close the connection; a plain service knows no other way."""
+        """Close the connection; a plain service has no other way to cancel."""
         self.close()
 
     def close(self) -> None:
-        """Give back the connection, closed unless the body was read to its end."""
+        """Release the connection if the body was read to its end; else close it."""
         if self._response.content.at_eof():
             self._response.release()
         else:
@@ -46,7 +46,9 @@
 
     name = "service"
 
-    async def send(self, order: Order) -> Result[Answer, TargetError]:
-        """Send an order, once."""
-        sent = await self.send_once(order)
+    async def send(
+        self, target_request: TargetRequest
+    ) -> Result[TargetAnswer, TargetError]:
+        """Send a request once."""
+        sent = await self.send_once(target_request)
         return sent.map(lambda response: ServiceAnswer(response, self))
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -12,9 +12,9 @@
 
 from hibiscusstep.checker import check_history
 from hibiscusstep.configuration.settings import Settings
-from hibiscusstep.configuration.stored import CONFIGURATION_KEY, Stored
-from hibiscusstep.entry import Entry
+from hibiscusstep.configuration.stored import CONFIGURATION_KEY, StoredConfiguration
 from hibiscusstep.events import EventKind, Recorder, read_history
+from hibiscusstep.instance import Instance
 from hibiscusstep.standins.batching import EngineSpeed
 from hibiscusstep.standins.engine import make_engine_app
 from hibiscusstep.standins.service import make_service_app
@@ -143,7 +143,7 @@
         await self.apply(configuration(self.targets, **self._options))
         ports = iter(free_ports(3 * len(self._names)))
         self._ports = {name: [next(ports) for _ in range(3)] for name in self._names}
-        self.platform.records = [
+        self.platform.instance_records = [
             InstanceRecord(name, "hall", f"127.0.0.1:{ports[2]}")
             for name, ports in self._ports.items()
         ]
@@ -204,7 +204,7 @@
         """Have a configuration accepted; return its version."""
         found = await self.platform.get(CONFIGURATION_KEY)
         version = found.unwrap().version if found.is_ok() else 0
-        value = Stored(files=files, **fields).to_bytes()
+        value = StoredConfiguration(files=files, **fields).to_bytes()
         accepted = (await self.platform.put(CONFIGURATION_KEY, value, version)).unwrap()
         self._recorder.record(EventKind.CONFIGURATION_ACCEPTED, version=accepted)
         return accepted
@@ -250,7 +250,7 @@
 
     async def start(self, name):
         """Start an instance, or start it again."""
-        entry = Entry(self.settings(name), self.platform)
+        entry = Instance(self.settings(name), self.platform)
         self.entries[name] = entry
         self.tasks[name] = asyncio.create_task(entry.run())
         self.urls[name] = f"http://{entry._settings.caller_address}"
@@ -260,7 +260,7 @@
         """End an instance as a kill does: at once, nothing said."""
         self.killed.append(name)
         entry, task = self.entries.pop(name), self.tasks.pop(name)
-        entry._border.drain()
+        entry._caller_server.drain()
         entry.cut("killed by the test")
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -281,14 +281,14 @@
         for side in sides:
             others = [n for other in sides if other is not side for n in other]
             for name in side:
-                self.entries[name].links.cut(
+                self.entries[name].links.block(
                     {f"127.0.0.1:{self._ports[other][2]}" for other in others}
                 )
 
     def heal(self):
         """End all cuts."""
         for entry in self.entries.values():
-            entry.links.cut(set())
+            entry.links.block(set())
 
     async def settled(self):
         """Wait until all instances see each other and every pool is dispatched."""
@@ -299,7 +299,7 @@
 
     def dispatcher(self, pool):
         """Return the name of the instance that dispatches a pool."""
-        return self._live()[0].view.dispatcher(pool)
+        return self._live()[0].view.dispatcher_of(pool)
 
     def _live(self):
         return list(self.entries.values())
@@ -308,7 +308,7 @@
         live = self._live()
         pools = live[0].in_force.configuration.pools
         return all(
-            any(e._dispatching.status(pool).get("recovered") for e in live)
+            any(e._dispatcher_host.status(pool).get("recovered") for e in live)
             for pool in pools
         )
 
--- a/tests/quota_region.py
+++ b/tests/quota_region.py
@@ -14,10 +14,10 @@
 from hibiscusstep.forwarding.quota import CustomersChanged, QuotaLimiter
 from hibiscusstep.forwarding.saved_usage import SavedUsageWorker
 from hibiscusstep.mailbox import Tick
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import Member, View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import Received
-from hibiscusstep.store import UseStore
+from hibiscusstep.store import UsageStore
 
 STEP_S = 0.02
 TICK_S = 0.2
@@ -41,7 +41,7 @@
         self.sent.append(send)
 
 
-class FakeUseStore(UseStore):
+class FakeUseStore(UsageStore):
     """A store that counts its calls and fails while `unavailable` is set."""
 
     def __init__(self):
@@ -191,7 +191,7 @@
     def view(self, number, seen, silent, listed):
         """Return the membership view of an instance."""
         members = {f"i{n}": self.member(n) for n in seen}
-        return View(members, silent, listed=listed)
+        return View(members, silent, listed_at_startup=listed)
 
     def member(self, number, relay=True):
         incarnation = self.instances[number].incarnation
@@ -279,14 +279,22 @@
         others = len(seen) - len(members)
         if number >= self.RELAYS:
             parent = f"a{self._parent(number, relays)}" if relays else ""
-            return View(members, silent, parent=parent, others=others, listed=listed)
+            return View(
+                members,
+                silent,
+                parent=parent,
+                other_instances=others,
+                listed_at_startup=listed,
+            )
         followers = {
             f"i{n}": self.member(n, relay=False)
             for n in seen
             if n >= self.RELAYS and self._parent(n, relays) == number
         }
         others -= len(followers)
-        return View(members, silent, followers, others=others, listed=listed)
+        return View(
+            members, silent, followers, other_instances=others, listed_at_startup=listed
+        )
 
     def _parent(self, number, relays):
         own = number % self.RELAYS
--- a/tests/test_grant_monitor.py
+++ b/tests/test_grant_monitor.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hibiscusstep.desk import STALE_GRANT_S
+from hibiscusstep.dispatch_client import STALE_GRANT_S
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.dispatch_plan import DispatchPlan, PlannedPool, PlannedTarget
 from hibiscusstep.routing.grant_monitor import (
--- a/tests/test_mechanisms_off.py
+++ b/tests/test_mechanisms_off.py
@@ -12,10 +12,10 @@
 import pytest
 from cluster import Cluster, configuration, until
 
-from hibiscusstep.caller import CallerBorder
-from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.configuration.keeper import ConfigurationKeeper, _Seen
-from hibiscusstep.configuration.stored import Stored
+from hibiscusstep.caller_server import CallerServer
+from hibiscusstep.configuration.in_force import ConfigurationInForce
+from hibiscusstep.configuration.stored import StoredConfiguration
+from hibiscusstep.configuration.updater import ConfigurationUpdater, _Seen
 from hibiscusstep.events import EventKind
 from hibiscusstep.load.drive import Result, State, _judge
 from hibiscusstep.load.mix import Arrival, RequestClass
@@ -25,7 +25,7 @@
 
 
 def promises(cluster):
-    return {finding.promise for finding in cluster.findings()}
+    return {finding.guarantee for finding in cluster.findings()}
 
 
 class TestOff:
@@ -44,7 +44,7 @@
         async def at_once(_border):
             return None
 
-        monkeypatch.setattr(CallerBorder, "wait_idle", at_once)
+        monkeypatch.setattr(CallerServer, "wait_idle", at_once)
         async with Cluster(tmp_path, duration=2.0) as cluster:
             call = asyncio.create_task(cluster.call("e1", "/read"))
             await until(lambda: cluster.events(EventKind.SERVED))
@@ -54,7 +54,9 @@
 
     async def test_versions_that_only_go_up(self, tmp_path, monkeypatch):
         def accept_any_version(keeper, version, value):
-            loaded = InForce(version, value, Stored.parse(value).load())
+            loaded = ConfigurationInForce(
+                version, value, StoredConfiguration.parse(value).load()
+            )
             keeper._in_force = loaded
             keeper._publish(loaded)
 
@@ -64,8 +66,12 @@
             await until(
                 lambda: all(e.in_force.version == newer for e in cluster._live())
             )
-            monkeypatch.setattr(ConfigurationKeeper, "_take", accept_any_version)
-            cluster.entries["e0"]._keeper.tell(_Seen(old.version, old.value))
+            monkeypatch.setattr(
+                ConfigurationUpdater, "_apply_version", accept_any_version
+            )
+            cluster.entries["e0"]._configuration_updater.tell(
+                _Seen(old.version, old.value)
+            )
             await until(lambda: "configuration" in promises(cluster))
 
     async def test_looking_a_key_up_before_the_queue(self, tmp_path):
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -11,8 +11,8 @@
 from hibiscusstep.forwarding.quarantine import Quarantine
 from hibiscusstep.forwarding.saved_suspects import from_document, to_document
 from hibiscusstep.mailbox import Tick
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import Member, View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import Received, SuspectState, SuspectStates
 
 REQUEST = 7
@@ -132,10 +132,10 @@
         relays = {name: _member(name) for name in ("r1", "r2")}
         followers = {name: _member(name, False) for name in ("f1", "f2")}
         await region.set_views(
-            r1=View(relays, followers={"f1": followers["f1"]}, others=1),
-            r2=View(relays, followers={"f2": followers["f2"]}, others=1),
-            f1=View({**relays, "f1": followers["f1"]}, parent="r1", others=1),
-            f2=View({**relays, "f2": followers["f2"]}, parent="r2", others=1),
+            r1=View(relays, followers={"f1": followers["f1"]}, other_instances=1),
+            r2=View(relays, followers={"f2": followers["f2"]}, other_instances=1),
+            f1=View({**relays, "f1": followers["f1"]}, parent="r1", other_instances=1),
+            f2=View({**relays, "f2": followers["f2"]}, parent="r2", other_instances=1),
         )
         await region.crash_three_targets("f1", "f2", "r1")
         assert region.quarantine_flags() == [True] * 4
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -8,8 +8,8 @@
 from hibiscusstep.forwarding.quota_request import QuotaRequest
 from hibiscusstep.forwarding.window import SlidingWindow
 from hibiscusstep.mailbox import Tick
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import Member, View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import Received
 
 BOUNDS = Bounds(quota_window=8.0, quota_overage=0.1, quota_slack=50.0)
@@ -198,10 +198,12 @@
         for n, limiter in enumerate(fleet.limiters):
             if n < 2:
                 followers = {f"i{m}": _member(m) for m in (n + 2, n + 4)}
-                view = View(relays, followers=followers, others=2)
+                view = View(relays, followers=followers, other_instances=2)
             else:
                 view = View(
-                    {**relays, f"i{n}": _member(n)}, parent=f"a{n % 2}", others=3
+                    {**relays, f"i{n}": _member(n)},
+                    parent=f"a{n % 2}",
+                    other_instances=3,
                 )
             await limiter.handle(ViewChanged(view))
         fleet.now += 20.0
@@ -269,7 +271,7 @@
         await self._settle(fleet)
         moved_follower = fleet.limiters[2]
         relays = {f"i{n}": _member(n) for n in (0, 1)}
-        view = View({**relays, "i2": _member(2)}, parent="a1", others=3)
+        view = View({**relays, "i2": _member(2)}, parent="a1", other_instances=3)
         await moved_follower.handle(ViewChanged(view))
         followers = {f"i{m}": _member(m) for m in (2, 3, 5)}
         await fleet.limiters[1].handle(ViewChanged(View(relays, followers=followers)))
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hibiscusstep.continuation import Continuation, contents
+from hibiscusstep.continuation import Continuation, event_texts
 from hibiscusstep.events import EventKind
 from hibiscusstep.standins.batching import Job
 
@@ -16,7 +16,7 @@
 
 
 def text_of(reply):
-    return "".join(contents(reply.body))
+    return "".join(event_texts(reply.body))
 
 
 def expected(prompt, tokens):
@@ -178,14 +178,14 @@
         for size in [*pieces, len(events)]:
             part = b"".join(events[position : position + size])
             position += size
-            relayed.append(continuation.rest(part))
-        assert continuation.fits and b"".join(relayed) == b"".join(events)
+            relayed.append(continuation.remove_sent(part))
+        assert continuation.matches and b"".join(relayed) == b"".join(events)
 
     def test_a_different_response_does_not_fit(self):
         event = b'data: {"choices":[{"delta":{"content":"%s"}}]}\n\n'
         continuation = Continuation(event % b"one")
-        continuation.rest(event % b"two")
-        assert not continuation.fits
+        continuation.remove_sent(event % b"two")
+        assert not continuation.matches
 
 
 class TestCallerConnections:
@@ -251,7 +251,7 @@
             await self.send_raw(cluster, head, end=True)
             reply = await cluster.call("e0", key="half")
             assert reply.outcome in ("whole", "not run")
-            await until(lambda: not cluster.entries["e0"]._border.open_requests)
+            await until(lambda: not cluster.entries["e0"]._caller_server.open_requests)
             cluster.check()
 
     async def test_customers_do_not_see_each_other(self, tmp_path):
--- a/tests/test_target_estimates.py
+++ b/tests/test_target_estimates.py
@@ -12,12 +12,12 @@
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.dispatch_plan import DispatchPlan, PlannedPool, PlannedTarget
 from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
-from hibiscusstep.store import BeliefStore
+from hibiscusstep.store import EstimateStore
 
 ESTIMATES = PoolLearnt("p", ["t0", "t1"], [1.0, 5.0], 0.03, 1e-5, 0.15)
 
 
-class _Store(BeliefStore):
+class _Store(EstimateStore):
     def __init__(self, **documents):
         self.documents = documents
         self.unavailable = False
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -53,7 +53,7 @@
         settings = {"tier_guard_enabled": False}
         async with small_cluster(tmp_path, settings=settings) as cluster:
             await asyncio.gather(*await overload(cluster))
-            assert "tier order" in {f.promise for f in cluster.findings()}
+            assert "tier order" in {f.guarantee for f in cluster.findings()}
 
     async def test_running_lower_tier_is_stopped(self, tmp_path):
         async with small_cluster(tmp_path) as cluster:
