--- a/examples/compare.py
+++ b/examples/compare.py
@@ -1,4 +1,4 @@
-"""examples.compare: starts a deployment and compares policies on it."""
+"""examples.compare: starts an example deployment and compares policies on it."""
 
 import subprocess
 import sys
--- a/examples/decision_cost.py
+++ b/examples/decision_cost.py
@@ -1,10 +1,10 @@
-"""Measures what the dispatcher of a pool spends on a request, by how many wait.
+"""Measures the dispatcher's processor time per request, by the number of waiting ones.
 
 Usage: python examples/decision_cost.py [--targets 30] [--requests 4000]
 
-A pool whose slots are all taken gets requests of three ranks in turn; so many more
-than it serves that as many as asked for wait all the time. Printed are microseconds of
-processor time for all messages of one request, without sockets and codecs.
+A pool with no free slots gets requests of three ranks in turn, at a rate that keeps the
+given number of them waiting. Prints the microseconds of processor time for all messages
+of one request, without sockets and codecs.
 """
 
 import itertools
@@ -18,18 +18,18 @@
 
 SLOTS = 10
 RANKS = 3
-# An answer ends for every so many requests that come: the others are refused.
-ASKS_AN_ANSWER = 2
+# Requests per answer that ends; the others are refused.
+REQUESTS_PER_ANSWER = 2
 
 
 def measure(targets: int, waiting: int, requests: int) -> float:
-    """Return the microseconds of a request with so many waiting."""
+    """Return the microseconds per request with a number of waiting requests."""
     pool = {f"t{n}": PlannedTarget(SLOTS) for n in range(targets)}
     dispatcher = SlotDispatcher(
         "p", Plan({"p": PlannedPool(True, 6, 0.3, targets=pool)})
     )
     dispatcher.handle(m.Recovered(), 0.0)
-    # As many wait as come in the time that each is patient for.
+    # The number of waiting requests is the number that arrive within the patience.
     interval, patience = 0.001, 0.001 * waiting
     running = itertools.count()
     held: list[str] = []
@@ -41,7 +41,7 @@
             now + patience, now, due=now + 2 * patience,
         )  # fmt: skip
         messages = [m.Ask(work)]
-        if len(held) >= targets * SLOTS and not n % ASKS_AN_ANSWER:
+        if len(held) >= targets * SLOTS and not n % REQUESTS_PER_ANSWER:
             ask = held.pop(next(running) % 7)
             messages.append(m.Finished(ask, m.Outcome.DONE, 50, 1.0))
         began = time.process_time()
@@ -59,7 +59,7 @@
 @click.option("--targets", default=30, show_default=True)
 @click.option("--requests", default=4000, show_default=True)
 def main(targets: int, requests: int) -> None:
-    """Print a line for each number of waiting requests."""
+    """Print a line per number of waiting requests."""
     for waiting in (10, 100, 1000):
         spent = measure(targets, waiting, requests)
         click.echo(f"{targets} targets, {waiting} waiting: {spent:.0f} us a request")
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,4 +1,4 @@
-"""examples.demo: the whole system for a few seconds, with a readable summary."""
+"""examples.demo: runs the system for a few seconds and prints a summary."""
 
 import argparse
 import asyncio
--- a/examples/fleet.py
+++ b/examples/fleet.py
@@ -1,7 +1,7 @@
 """examples.fleet: starts and stops the processes of a deployment on free ports.
 
-No program of the system starts another; scripts of this folder, tests and
-measurements start them with this module.
+No program of the system starts another one. The scripts of this folder, tests and
+measurements use this module to start them.
 """
 
 import functools
@@ -28,12 +28,12 @@
 
 
 def free_ports(count):
-    """Return ports that are free now.
+    """Return currently free ports.
 
-    They lie below the range from which the system draws, in a block that this process
-    has for itself as long as it lives, whatever runs beside it.
+    The ports lie below the operating system's ephemeral range, in a block that is
+    reserved for this process as long as it runs.
     """
-    return list(itertools.islice(filter(_is_free, _candidates()), count))
+    return list(itertools.islice(filter(_is_free, _reserved_ports()), count))
 
 
 def _is_free(port):
@@ -46,26 +46,26 @@
 
 
 @functools.cache
-def _candidates():
-    """Return the ports of a block, again and again; its first one guards the block."""
+def _reserved_ports():
+    """Return a cycle of a block's ports; binding its first port reserves the block."""
     for number in range(BLOCKS):
         first = FIRST_PORT + BLOCK * ((os.getpid() + number) % BLOCKS)
-        guard = socket.socket()
+        lock = socket.socket()
         try:
-            guard.bind(("127.0.0.1", first))
+            lock.bind(("127.0.0.1", first))
         except OSError:
-            guard.close()
+            lock.close()
             continue
-        _guards.append(guard)
+        _block_locks.append(lock)
         return itertools.cycle(range(first + 1, first + BLOCK))
-    raise RuntimeError("all blocks of ports are taken")
+    raise RuntimeError("all blocks of ports are in use")
 
 
-_guards = []
+_block_locks = []
 
 
 def http(method, url, body=None, headers=None, timeout=5.0):
-    """Return status and body of one HTTP call."""
+    """Return the status and body of an HTTP call."""
     data = json.dumps(body).encode() if body is not None else None
     request = urllib.request.Request(url, data, headers or {}, method=method)
     try:
@@ -76,20 +76,20 @@
 
 
 class Fleet:
-    """The processes of one deployment: platform, targets, instances.
+    """Processes of one deployment: platform, targets, instances.
 
     Parameters
     ----------
     deployment : {'hanul', 'bertolini'}
         Folder of the example.
     targets : int
-        At most so many targets of each pool are kept.
+        Maximum number of targets per pool.
     settings : dict
-        Settings added to every instance.
+        Additional settings of every instance.
     files : dict of str to str
-        Files added to the configuration.
+        Additional configuration files.
     engine_options, platform_options : list of str
-        Options added to each engine stand-in, to the platform stand-in.
+        Additional options of each engine stand-in and of the platform stand-in.
     """
 
     def __init__(
@@ -163,7 +163,7 @@
 
     @property
     def callers(self):
-        """Callers' URL of each instance."""
+        """URL for callers of each instance."""
         return {n: f"http://{s.caller_address}" for n, s in self.instances.items()}
 
     def target_url(self, name):
@@ -174,7 +174,7 @@
         raise KeyError(name)
 
     def start(self):
-        """Start all, apply the configuration, and wait until all are ready."""
+        """Start all processes, apply the configuration and wait until all are ready."""
         self.start_platform()
         for pool in self.pools.values():
             for name, target in pool["targets"].items():
@@ -187,7 +187,7 @@
         return self
 
     def start_platform(self):
-        """Start the platform and tell it the instances."""
+        """Start the platform and register the instances with it."""
         address = self.platform.removeprefix("http://")
         options = [*self._platform_options, "--listen", address]
         self._spawn("platform", "hibiscusstep-standin", "platform", *options)
@@ -216,7 +216,7 @@
         self._until(lambda: self._health(name, "/health") == 200)
 
     def wait_ready(self, name):
-        """Wait until the balancer may send callers to an instance."""
+        """Wait until an instance reports that it is ready for callers."""
         self._until(lambda: self._health(name, "/ready") == 200)
 
     def control(self, target, **faults):
@@ -230,7 +230,7 @@
         return json.loads(http("GET", f"{base}/control")[1])
 
     def client(self, command, *arguments, check=True):
-        """Run the operators' client and return what it printed."""
+        """Run the operators' client and return its standard output."""
         settings = next(
             s
             for n, s in self.instances.items()
@@ -258,15 +258,15 @@
         self.processes[name].send_signal(number)
 
     def wait(self, name, timeout=30):
-        """Wait for the end of a process and return its exit code."""
+        """Wait until a process ends and return its exit code."""
         return self.processes[name].wait(timeout)
 
     def log(self, name):
-        """Return what a process wrote."""
+        """Return the output of a process."""
         return (self.folder / f"{name}.log").read_text()
 
     def stop(self, keep=False):
-        """Stop every process started here, by its id."""
+        """Stop every process of this fleet, by its id."""
         running = [p for p in self.processes.values() if p.poll() is None]
         for process in running:
             process.send_signal(signal.SIGCONT)
@@ -281,7 +281,7 @@
             shutil.rmtree(self.folder, ignore_errors=True)
 
     def __enter__(self):
-        """Start all."""
+        """Start all processes."""
         try:
             return self.start()
         except BaseException:
@@ -289,7 +289,7 @@
             raise
 
     def __exit__(self, *_exc):
-        """Stop all."""
+        """Stop all processes."""
         self.stop()
 
     def _spawn(self, name, program, *arguments):
--- a/examples/generate_schema.py
+++ b/examples/generate_schema.py
@@ -1,4 +1,4 @@
-"""Writes hibiscusstep/schema.py from hibiscusstep/hibiscusstep.thrift.
+"""Generates hibiscusstep/schema.py from hibiscusstep/hibiscusstep.thrift.
 
 Usage: python examples/generate_schema.py
 """
@@ -30,19 +30,19 @@
 }
 
 
-def _name(kind, inner=None) -> str:
+def _type_name(kind, inner=None) -> str:
     if isinstance(kind, tuple):
         return kind[1].__name__
     if kind == TType.STRUCT:
         return inner.__name__
     if kind == TType.LIST:
-        return f"list<{_name(inner)}>"
+        return f"list<{_type_name(inner)}>"
     return NAMES[kind]
 
 
 def _fields(spec: dict):
     for number, (kind, name, *rest) in sorted(spec.items()):
-        yield number, _name(kind, rest[0]), name
+        yield number, _type_name(kind, rest[0]), name
 
 
 def generate() -> str:
--- a/examples/overhead.py
+++ b/examples/overhead.py
@@ -1,8 +1,8 @@
-"""examples.overhead: what an instance adds to a stream, and what a stream costs it.
+"""examples.overhead: measures the latency and cost of an instance per stream.
 
-Prints Markdown tables: added time to the first token and between tokens against the
-same engine called directly; processor time and memory of one instance by the number
-of open streams.
+Prints Markdown tables: time to the first token and between tokens through an instance
+and with direct calls to the same engine; processor time and memory of one instance by
+the number of open streams.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 
 
 def cpu_seconds(pid):
-    """Return the processor seconds of a process so far."""
+    """Return the processor seconds used by a process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
@@ -37,27 +37,27 @@
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE / 1e6
 
 
-async def stream(session, url, tokens, firsts, gaps):
-    """Read one stream; note the seconds to its first part and between parts."""
+async def read_stream(session, url, tokens, firsts, gaps):
+    """Read a stream; collect the seconds to its first chunk and between chunks."""
     body = {
         "model": "assistant",
         "messages": [{"role": "user", "content": "how long?"}],
         "max_tokens": tokens,
         "stream": True,
     }
-    begun = last = time.perf_counter()
+    started = last = time.perf_counter()
     async with session.post(
         f"{url}/v1/chat/completions", json=body, headers=KEY
     ) as response:
         assert response.status == 200, await response.text()
         async for _chunk in response.content.iter_any():
             now = time.perf_counter()
-            (firsts if last == begun else gaps).append(now - last)
+            (firsts if last == started else gaps).append(now - last)
             last = now
 
 
-async def many(urls, streams, tokens, stagger):
-    """Read several streams at once, begun `stagger` seconds apart."""
+async def read_streams(urls, streams, tokens, stagger):
+    """Read several streams concurrently, started `stagger` seconds apart."""
     firsts, gaps = [], []
     timeout = aiohttp.ClientTimeout(total=None)
     connector = aiohttp.TCPConnector(limit=0)
@@ -66,16 +66,16 @@
         for number in range(streams):
             url = urls[number % len(urls)]
             tasks.append(
-                asyncio.create_task(stream(session, url, tokens, firsts, gaps))
+                asyncio.create_task(read_stream(session, url, tokens, firsts, gaps))
             )
             await asyncio.sleep(stagger)
         await asyncio.gather(*tasks)
     return firsts, gaps
 
 
-def drive(urls, streams, tokens, stagger, queue):
-    """Run `many` in a process of its own."""
-    queue.put(asyncio.run(many(urls, streams, tokens, stagger)))
+def run_driver(urls, streams, tokens, stagger, queue):
+    """Run `read_streams`; the main function of a driver process."""
+    queue.put(asyncio.run(read_streams(urls, streams, tokens, stagger)))
 
 
 def percentiles(values):
@@ -83,8 +83,8 @@
     return [round(1e3 * float(v), 2) for v in np.percentile(values, [50, 95, 99])]
 
 
-def added(rounds):
-    """Print the time that an instance adds, in turn with direct calls."""
+def measure_added_latency(rounds):
+    """Print latencies through an instance and of direct calls, in alternation."""
     options = ["--decode-rate", "50", "--prefill-rate", "100000"]
     with Fleet("hanul", targets=1, engine_options=options) as fleet:
         direct = [fleet.target_url("worker-0")]
@@ -95,13 +95,13 @@
         print("| --- | --- | --- | --- |")
         for number in range(rounds):
             for name, urls in (("direct", direct), ("through", through)):
-                firsts, gaps = asyncio.run(many(urls, 100, 20, 0.15))
+                firsts, gaps = asyncio.run(read_streams(urls, 100, 20, 0.15))
                 times = f"{percentiles(firsts)} | {percentiles(gaps)}"
                 print(f"| {number} | {name} | {times} |")
 
 
 def _wide_fleet(log_level="WARNING"):
-    """Return a deployment whose engines pace many streams."""
+    """Return a deployment whose engines serve many streams at a fixed rate."""
     options = ["--decode-rate", str(1 / TOKEN_PERIOD_S), "--prefill-rate", "1000000"]
     options += ["--max-running", "400", "--batch-cost", "0"]
     settings = {"log_level": log_level, "history": ""}
@@ -116,8 +116,8 @@
     )
 
 
-def cost(points):
-    """Print processor time and memory of one instance by open streams."""
+def measure_cost(points):
+    """Print processor time and memory of one instance by the number of open streams."""
     with _wide_fleet() as fleet:
         name = next(n for n in fleet.instances if n in fleet.client("status"))
         pid, url = fleet.processes[name].pid, fleet.callers[name]
@@ -138,16 +138,16 @@
     share = streams // DRIVERS
     drivers = [
         multiprocessing.Process(
-            target=drive, args=(urls, share, tokens, stagger * DRIVERS, queue)
+            target=run_driver, args=(urls, share, tokens, stagger * DRIVERS, queue)
         )
         for _ in range(DRIVERS)
     ]
     for driver in drivers:
         driver.start()
     time.sleep(warm or share * stagger * DRIVERS + 1.0)
-    before, begun = cpu_seconds(pid), time.perf_counter()
+    before, started = cpu_seconds(pid), time.perf_counter()
     time.sleep(8.0)
-    spent = (cpu_seconds(pid) - before) / (time.perf_counter() - begun)
+    spent = (cpu_seconds(pid) - before) / (time.perf_counter() - started)
     memory = resident_mb(pid)
     gaps = [gap for _ in drivers for gap in queue.get()[1]]
     for driver in drivers:
@@ -161,21 +161,21 @@
     )
 
 
-def steady(requests=36, tokens=433):
-    """Print the cost of an instance while requests come and go at a steady rate."""
+def measure_steady_load(requests=36, tokens=433):
+    """Print the cost of an instance at a constant rate of requests."""
     with _wide_fleet("INFO") as fleet:
         name = next(iter(fleet.instances))
         pid, url = fleet.processes[name].pid, fleet.callers[name]
-        lasting = tokens * TOKEN_PERIOD_S
-        streams = int(requests * (lasting + 12))
+        stream_seconds = tokens * TOKEN_PERIOD_S
+        streams = int(requests * (stream_seconds + 12))
         print(f"{requests} requests/s of {tokens} tokens:")
-        print(_cost_row(pid, [url], streams, tokens, 1 / requests, lasting + 2))
+        print(_cost_row(pid, [url], streams, tokens, 1 / requests, stream_seconds + 2))
 
 
 if __name__ == "__main__":
     if sys.argv[1] == "added":
-        added(rounds=3)
+        measure_added_latency(rounds=3)
     elif sys.argv[1] == "steady":
-        steady()
+        measure_steady_load()
     else:
-        cost(points=[int(n) for n in sys.argv[2:]] or [240, 480, 960])
+        measure_cost(points=[int(n) for n in sys.argv[2:]] or [240, 480, 960])
--- a/examples/slopes.py
+++ b/examples/slopes.py
@@ -1,4 +1,4 @@
-"""examples.slopes: what each role of an instance costs, by its size, for CAPACITY.md.
+"""examples.slopes: measures the cost of each role of an instance, for CAPACITY.md.
 
 python examples/slopes.py membership|relays|dispatcher|claims|configuration|\
                               messages|process
@@ -36,20 +36,22 @@
 from hibiscusstep.stores.memory import MemoryPlatform
 
 
-def row(*cells):
+def print_row(*cells):
     """Print a row of a Markdown table."""
     print("| " + " | ".join(map(str, cells)) + " |", flush=True)
 
 
-def head(*names):
-    """Print the head of a Markdown table."""
-    row(*names)
-    row(*["---"] * len(names))
+def print_header(*names):
+    """Print the header of a Markdown table."""
+    print_row(*names)
+    print_row(*["---"] * len(names))
 
 
 async def membership(counts=(3, 9, 30, 60, 100), seconds=6.0):
-    """Measure heartbeats of N members in one process: bytes and processor time."""
-    head("members", "bytes/s sent a member", "processor us/s a member", "% of a core")
+    """Measure bytes and processor time of the heartbeats of N members."""
+    print_header(
+        "members", "bytes/s sent a member", "processor us/s a member", "% of a core"
+    )
     for count in counts:
         ports = free_ports(count)
         addresses = [f"127.0.0.1:{port}" for port in ports]
@@ -68,7 +70,7 @@
         sent = sum(link.bytes_sent for link in links) - sent
         cpu = time.process_time() - cpu
         each = cpu / count / seconds
-        row(
+        print_row(
             count,
             round(sent / count / seconds),
             round(1e6 * each),
@@ -80,8 +82,10 @@
 
 
 async def relays(counts=(9, 30, 60, 120), centres=3, seconds=6.0):
-    """Measure a region with relays in one process: bytes of both kinds, processor."""
-    head("instances", "relays", "bytes/s, relay", "bytes/s, follower", "us/s each")
+    """Measure bytes and processor time of a region with relays in one process."""
+    print_header(
+        "instances", "relays", "bytes/s, relay", "bytes/s, follower", "us/s each"
+    )
     for count in counts:
         addresses = [f"127.0.0.1:{port}" for port in free_ports(count)]
         platform = MemoryPlatform()
@@ -104,7 +108,7 @@
         own = [worker.is_relay for _, worker in made]
         of_relays = [s for s, relay in zip(sent, own, strict=True) if relay]
         of_others = [s for s, relay in zip(sent, own, strict=True) if not relay]
-        row(
+        print_row(
             count,
             len(of_relays),
             round(sum(of_relays) / max(1, len(of_relays)) / seconds),
@@ -139,7 +143,7 @@
 
 
 def pool_configuration(targets, customers=10):
-    """Make a configuration of one pool."""
+    """Return a configuration with one pool."""
     data = {
         "tiers": {"high": {"rank": 0}, "mid": {"rank": 1}, "low": {"rank": 2}},
         "customers": {
@@ -181,8 +185,13 @@
 
 
 def dispatcher():
-    """Measure a request (ask, grant, first token, end) by targets and by waiting."""
-    head("targets", "customers", "waiting", "us a request", "bytes a waiting request")
+    """Measure the cost of a request by the number of targets and of waiting requests.
+
+    A request has an ask, a grant, a first token and an end.
+    """
+    print_header(
+        "targets", "customers", "waiting", "us a request", "bytes a waiting request"
+    )
     points = [(10, 10, 0), (100, 10, 0), (1000, 10, 0)]
     points += [(10, 10, 100), (10, 10, 1000), (10, 10, 10_000)]
     points += [(100, 390, 1000), (100, 390, 10_000)]
@@ -206,7 +215,7 @@
         held = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
         rounds = 400
-        begun = time.process_time()
+        started = time.process_time()
         for number in range(places + waiting, places + waiting + rounds):
             state.handle(m.Ask(_work(number, customers)), 2.0)
             done = running.pop(0)
@@ -215,14 +224,16 @@
                 m.Finished(done, m.Outcome.DONE, 20, 0.5, 40), 2.0
             ):
                 running.append(taken.work.ask)
-        spent = time.process_time() - begun
+        spent = time.process_time() - started
         each = round(held / waiting) if waiting else "-"
-        row(targets, customers, waiting, round(1e6 * spent / rounds, 1), each)
+        print_row(targets, customers, waiting, round(1e6 * spent / rounds, 1), each)
 
 
 async def claims(rates=(10, 20, 100, 400, 1000), seconds=5.0):
-    """Measure the writes of one shard, and their size, by claims a second."""
-    head("claims/s", "writes/s", "claims a write", "p50 ms", "p95 ms", "cpu us a claim")
+    """Measure the number and size of the writes of one shard by claims per second."""
+    print_header(
+        "claims/s", "writes/s", "claims a write", "p50 ms", "p95 ms", "cpu us a claim"
+    )
     for rate in rates:
         platform = MemoryPlatform()
         platform.faults.delay = 0.005
@@ -230,15 +241,15 @@
         task = asyncio.create_task(writer.run())
         loop = asyncio.get_running_loop()
         waits = []
-        cpu, begun = time.process_time(), loop.time()
+        cpu, started = time.process_time(), loop.time()
         for number in range(int(rate * seconds)):
-            await asyncio.sleep(max(0.0, begun + number / rate - loop.time()))
+            await asyncio.sleep(max(0.0, started + number / rate - loop.time()))
             _claim(writer, number, loop.time(), waits)
         await asyncio.sleep(0.5)
         cpu = time.process_time() - cpu
-        spent = loop.time() - begun
+        spent = loop.time() - started
         waits.sort()
-        row(
+        print_row(
             rate,
             round(writer.writes / spent, 1),
             round(writer.claims_written / writer.writes, 1),
@@ -276,7 +287,9 @@
 
 def _claim_memory():
     print()
-    head("claims", "bytes each in memory", "bytes each stored", "us each to read back")
+    print_header(
+        "claims", "bytes each in memory", "bytes each stored", "us each to read back"
+    )
     for count in (1000, 10_000, 100_000):
         encoded = codec.encode(ClaimHead([], [_record(n) for n in range(count)], "b"))
         gc.collect()
@@ -287,10 +300,10 @@
         gc.collect()
         held = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
-        begun = time.process_time()
+        started = time.process_time()
         codec.decode(ClaimHead, encoded)
-        spent = time.process_time() - begun
-        row(
+        spent = time.process_time() - started
+        print_row(
             count,
             round(held / count),
             round(len(encoded) / count),
@@ -299,25 +312,27 @@
 
 
 def configuration():
-    """Measure the configuration object and the time to check it, by its size."""
-    head("customers", "targets", "files", "bytes", "ms at first", "ms after a change")
+    """Measure the size of the configuration object and the time to validate it."""
+    print_header(
+        "customers", "targets", "files", "bytes", "ms at first", "ms after a change"
+    )
     for customers, targets in ((5, 50), (100, 300), (390, 1100)):
         files = _small_files(pool_configuration(targets, customers))
-        begun = time.process_time()
+        started = time.process_time()
         Stored(files=files).load()
-        first = time.process_time() - begun
+        first = time.process_time() - started
         name = next(iter(files))
         changed = Stored(files={**files, name: files[name] + " // changed"})
-        begun = time.process_time()
+        started = time.process_time()
         changed.load()
-        again = time.process_time() - begun
+        again = time.process_time() - started
         size = len(changed.to_bytes())
         times = (round(1e3 * first), round(1e3 * again, 1))
-        row(customers, targets, len(files), size, *times)
+        print_row(customers, targets, len(files), size, *times)
 
 
 def _small_files(data, each=10):
-    """Spread customers and targets over files of `each`."""
+    """Split customers and targets into files with `each` entries."""
     files = {"00.json": json.dumps({"tiers": data["tiers"]})}
     customers = list(data["customers"].items())
     for start in range(0, len(customers), each):
@@ -331,8 +346,8 @@
 
 
 async def spread(counts=(3, 9, 18, 30), changes=5):
-    """Measure the seconds until a change is in force on N whole instances."""
-    head("instances", "median s", "most s", "calls on the platform a change")
+    """Measure the seconds until a change is in force on N complete instances."""
+    print_header("instances", "median s", "most s", "calls on the platform a change")
     for count in counts:
         platform = MemoryPlatform()
         data = pool_configuration(9)
@@ -343,18 +358,18 @@
             for n in range(count)
         ]
         tasks = [asyncio.create_task(entry.run()) for entry in entries]
-        await _in_force(entries, version)
+        await _wait_in_force(entries, version)
         await asyncio.sleep(3.0)
         seconds, calls = [], sum(platform.calls.values())
         for number in range(changes):
             data["tiers"]["low"]["rank"] = 10 + number
-            begun = time.monotonic()
+            started = time.monotonic()
             version = await _put(platform, data, version)
-            await _in_force(entries, version)
-            seconds.append(time.monotonic() - begun)
+            await _wait_in_force(entries, version)
+            seconds.append(time.monotonic() - started)
         calls = (sum(platform.calls.values()) - calls) / changes
         seconds.sort()
-        row(count, round(seconds[changes // 2], 2), round(seconds[-1], 2), calls)
+        print_row(count, round(seconds[changes // 2], 2), round(seconds[-1], 2), calls)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -365,7 +380,7 @@
     return (await platform.put(CONFIGURATION_KEY, value, version)).unwrap()
 
 
-async def _in_force(entries, version):
+async def _wait_in_force(entries, version):
     while any(entry.in_force.version != version for entry in entries):
         await asyncio.sleep(0.01)
 
@@ -386,7 +401,7 @@
 
 
 def messages(rounds=5000):
-    """Measure a peer message: written with its tag, read, and its bytes."""
+    """Measure the size of peer messages and the time to write and read them."""
     info = peer.WorkInfo(
         "0123456789ab.1234",
         "entry-guro-0123456789abcdef0123456789abcdef",
@@ -414,27 +429,27 @@
         ),
     }
     writer, reader = Authenticator("k", b"n"), Authenticator("k", b"n")
-    head("message", "bytes framed", "us to write", "us to read")
+    print_header("message", "bytes framed", "us to write", "us to read")
     for name, message in samples.items():
-        begun = time.process_time()
+        started = time.process_time()
         frames = [writer.frame(b"\0" + codec.encode(message)) for _ in range(rounds)]
-        wrote = time.process_time() - begun
-        begun = time.process_time()
+        wrote = time.process_time() - started
+        started = time.process_time()
         for frame in frames:
             body = frame[20:]
             reader.tag(body)
             codec.decode(type(message), body[1:])
-        read = time.process_time() - begun
+        read = time.process_time() - started
         times = (round(1e6 * spent / rounds, 1) for spent in (wrote, read))
-        row(name, len(frames[0]), *times)
+        print_row(name, len(frames[0]), *times)
 
 
 def logs(rounds=5000):
-    """Measure a decision's log line as JSON."""
+    """Measure the time to log a decision as JSON."""
     set_up_logging("json", "INFO", "entry-guro")
     logging.getLogger().handlers[0].setStream(open(os.devnull, "w"))
     candidates = {f"worker-{number}": 0.123 for number in range(8)}
-    begun = time.process_time()
+    started = time.process_time()
     for _ in range(rounds):
         decision(
             "grant",
@@ -446,13 +461,13 @@
             target="worker-1",
             candidates=candidates,
         )
-    spent = time.process_time() - begun
+    spent = time.process_time() - started
     print(f"{1e6 * spent / rounds:.1f} us a line")
 
 
 def process():
-    """Measure the resident memory of a process by what it has imported."""
-    head("process", "MB resident")
+    """Measure the resident memory of a process by its imports."""
+    print_header("process", "MB resident")
     code = "print(int(open('/proc/self/statm').read().split()[1]) * 4096 / 1e6)"
     libraries = "aiohttp, uvloop, pydantic, json5, orjson, thriftpy2, aioprometheus"
     for name, first in (
@@ -463,7 +478,7 @@
         done = subprocess.run(
             [sys.executable, "-c", first + code], capture_output=True, text=True
         )
-        row(name, round(float(done.stdout), 1))
+        print_row(name, round(float(done.stdout), 1))
 
 
 if __name__ == "__main__":
