--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Instances, targets and a platform in one loop, with faults, for tests."""
+"""Test harness: instances, targets and a platform in one event loop, with faults."""
 
 import asyncio
 import contextlib
@@ -27,14 +27,14 @@
 
 
 async def until(condition, bound=BOUND_S):
-    """Wait for a condition; fail if it never comes."""
+    """Wait until a condition is true; fail after `bound` seconds."""
     async with asyncio.timeout(bound):
         while not condition():
             await asyncio.sleep(0.01)
 
 
 def configuration(targets, *, deadline=5.0, max_running=4, shedding=None, **claims):
-    """Make the files of a configuration with two pools and three tiers."""
+    """Return the files of a configuration with two pools and three tiers."""
     pools = {
         kind: {
             "kind": kind,
@@ -96,14 +96,14 @@
 
 
 class Reply:
-    """What a caller got."""
+    """Answer that a caller received; status 0 if the connection broke."""
 
     def __init__(self, status=0, body=b"", headers=None):
         self.status, self.body, self.headers = status, body, headers or {}
 
     @property
     def outcome(self):
-        """Outcome of a problem document, ``"whole"`` for an answer."""
+        """Outcome of the problem document, ``"whole"`` for a complete answer."""
         if self.status == 200 and b"event: error" not in self.body:
             return "whole"
         text = self.body.rpartition(b"data: ")[2] or b"{}"
@@ -111,14 +111,14 @@
 
 
 class Cluster:
-    """A whole system in one event loop.
+    """Complete system in one event loop.
 
     Parameters
     ----------
     folder : pathlib.Path
-        For the recorded history.
+        Folder of the recorded history.
     instances, services, engines : int
-        How many of each.
+        Number of each.
     """
 
     def __init__(self, folder, instances=3, services=2, engines=0, **options):
@@ -128,7 +128,7 @@
         self.targets, self.apps, self._runners = {}, {}, []
         self.killed = []
         self._background = []
-        self._runner_of = {}
+        self._runner_by_target = {}
         self._names = [f"e{number}" for number in range(instances)]
         self._counts = {SERVICE: services, ENGINE: engines}
         self._options = options
@@ -177,7 +177,7 @@
         return make_service_app(name=name, duration=self._duration, recorder=recorder)
 
     async def serve_target(self, name, port):
-        """Serve a target's application on a port."""
+        """Start a target's application on a port."""
         runner = web.AppRunner(
             self.apps[name],
             access_log=None,
@@ -187,21 +187,21 @@
         await runner.setup()
         await web.TCPSite(runner, "127.0.0.1", port).start()
         self.targets[name] = f"127.0.0.1:{port}"
-        self._runner_of[name] = runner
+        self._runner_by_target[name] = runner
         self._runners.append(runner)
 
     async def stop_target(self, name):
-        """End a target: its connections break, new ones are refused."""
-        await self._runner_of.pop(name).cleanup()
+        """Stop a target: its connections break and new ones are refused."""
+        await self._runner_by_target.pop(name).cleanup()
 
     async def revive_target(self, name):
-        """Start a target again where it was, if it was stopped."""
-        if name not in self._runner_of:
+        """Restart a target at its address if it is stopped."""
+        if name not in self._runner_by_target:
             self.apps[name] = self._make_app(name)
             await self.serve_target(name, int(self.targets[name].rpartition(":")[2]))
 
     async def apply(self, files, **fields):
-        """Have a configuration accepted; return its version."""
+        """Write a configuration to the platform and return its version."""
         found = await self.platform.get(CONFIGURATION_KEY)
         version = found.unwrap().version if found.is_ok() else 0
         value = Stored(files=files, **fields).to_bytes()
@@ -210,27 +210,27 @@
         return accepted
 
     async def apply_until_known(self, files):
-        """Apply as an operator's client does: again until the outcome is known."""
+        """Apply a configuration, with retries until the outcome is known."""
         while True:
             with contextlib.suppress(UnwrapError):
                 return await self.apply(files)
             await asyncio.sleep(0.1)
 
     def background(self, coroutine):
-        """Run something beside the test; its end is waited for before mending."""
+        """Run a coroutine concurrently; `background_done` waits for it."""
         self._background.append(asyncio.create_task(coroutine))
 
     async def background_done(self):
-        """Wait for what runs beside the test, with the platform back."""
+        """Bring the platform up and wait for the background coroutines."""
         self.platform.faults.down = False
         await asyncio.gather(*self._background)
 
     def mark(self, kind, **fields):
-        """Record an event of the test itself."""
+        """Record an event of the test in the history."""
         self._recorder.record(kind, **fields)
 
     def settings(self, name):
-        """Make the settings of an instance: quick heartbeats."""
+        """Return the settings of an instance, with short heartbeat intervals."""
         caller, operator, peer = self._ports[name]
         return Settings(
             name=name,
@@ -249,7 +249,7 @@
         )
 
     async def start(self, name):
-        """Start an instance, or start it again."""
+        """Start or restart an instance."""
         entry = Entry(self.settings(name), self.platform)
         self.entries[name] = entry
         self.tasks[name] = asyncio.create_task(entry.run())
@@ -257,7 +257,7 @@
         await entry.started.wait()
 
     async def kill(self, name):
-        """End an instance as a kill does: at once, nothing said."""
+        """Stop an instance as SIGKILL does: at once and without notice."""
         self.killed.append(name)
         entry, task = self.entries.pop(name), self.tasks.pop(name)
         entry._border.drain()
@@ -266,7 +266,7 @@
         await asyncio.gather(task, return_exceptions=True)
 
     async def drain(self, name):
-        """End an instance as SIGTERM does."""
+        """Stop an instance as SIGTERM does."""
         entry = self.entries[name]
         await entry.drain()
         if self.entries.get(name) is not entry:
@@ -286,25 +286,25 @@
                 )
 
     def heal(self):
-        """End all cuts."""
+        """Restore all peer links."""
         for entry in self.entries.values():
             entry.links.cut(set())
 
     async def settled(self):
-        """Wait until all instances see each other and every pool is dispatched."""
+        """Wait until all instances know each other and every pool has a dispatcher."""
         names = set(self.entries)
         await until(lambda: all(set(e.view.members) == names for e in self._live()))
         await until(lambda: all(e.ready for e in self._live()))
-        await until(self._recovered)
+        await until(self._all_pools_dispatched)
 
     def dispatcher(self, pool):
-        """Return the name of the instance that dispatches a pool."""
+        """Return the name of the instance that is the dispatcher of a pool."""
         return self._live()[0].view.dispatcher(pool)
 
     def _live(self):
         return list(self.entries.values())
 
-    def _recovered(self):
+    def _all_pools_dispatched(self):
         live = self._live()
         pools = live[0].in_force.configuration.pools
         return all(
@@ -351,35 +351,35 @@
         return [event for event in self.history() if event.kind is kind]
 
     def findings(self):
-        """Return the broken promises so far."""
+        """Return the promises broken so far."""
         return check_history(self.history(), self.killed)
 
     def check(self):
-        """Fail with the events if a promise was broken."""
+        """Fail with the findings if a promise was broken."""
         findings = self.findings()
         assert not findings, "\n".join(map(str, findings))
 
     def on_event(self, kind, action, names=None):
-        """Call an action once, at the first event of a kind at one of the instances."""
+        """Call an action once, at the first event of a kind on any of the instances."""
         fired = asyncio.Event()
         for name in names or self.entries:
-            self._watch_recorder(self.entries[name], kind, action, fired)
+            self._wrap_recorder(self.entries[name], kind, action, fired)
         return fired
 
     @staticmethod
-    def _watch_recorder(entry, kind, action, fired):
+    def _wrap_recorder(entry, kind, action, fired):
         record = entry._recorder.record
 
-        def watched(seen, **fields):
-            record(seen, **fields)
-            if seen is kind and not fired.is_set():
+        def record_and_check(event_kind, **fields):
+            record(event_kind, **fields)
+            if event_kind is kind and not fired.is_set():
                 fired.set()
                 action()
 
-        entry._recorder.record = watched
+        entry._recorder.record = record_and_check
 
     def on_put(self, part, action):
-        """Call an action once, before the first write of a key that holds `part`."""
+        """Call an action once, before the first write of a key that contains `part`."""
         fired = asyncio.Event()
 
         def observer(step, key):
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the users' platform: the metadata store and targets, by its pages."""
+"""Stand-ins for the users' platform: the metadata store and targets."""
 
 import asyncio
 import contextlib
@@ -16,25 +16,25 @@
 
 
 def free_port() -> int:
-    """Return a port that only this process takes."""
+    """Return a free port from the block reserved for this process."""
     return free_ports(1)[0]
 
 
 class StoreStandIn:
-    """The metadata store: list, watch, create, replace; with faults.
+    """Metadata store with list, watch, create and replace, and with faults.
 
     Attributes
     ----------
     down : bool
-        Every call is refused with 503.
+        Whether every call is answered with 503.
     refused : set of str
-        Kinds whose calls are refused.
+        Kinds of objects for which every call is answered with 503.
     calls : list of str
         Method and path of each call.
     spoil : tuple of bytes or None
-        Bytes of answers that are replaced, and by what.
+        Bytes to replace in answers, and their replacement.
     era : str or None
-        Rises by one with each restore from a copy; in a field of all answers.
+        Value of the Store-Era field of all answers; each restore increments it.
     """
 
     def __init__(self) -> None:
@@ -55,7 +55,7 @@
     async def start(self) -> None:
         """Listen on a free port."""
         app = web.Application()
-        app.on_response_prepare.append(self._tell_era)
+        app.on_response_prepare.append(self._add_era_field)
         app.router.add_get(ROOT + "/{kind}", self._get)
         app.router.add_get(ROOT + "/{kind}/{name}", self._get_one)
         app.router.add_post(ROOT + "/{kind}", self._create)
@@ -69,14 +69,14 @@
         self.address = f"127.0.0.1:{port}"
 
     def host_and_port(self) -> tuple[str, int]:
-        """Return where it listens, for a proxy before it."""
+        """Return the host and port of the listener, for a proxy."""
         host, _, port = self.address.rpartition(":")
         return host, int(port)
 
     async def stop(self) -> None:
-        """End."""
+        """Stop the server."""
         self._stopped = True
-        self._wake()
+        self._notify_watchers()
         await self._runner.cleanup()
 
     def put(self, kind: str, name: str, spec: dict) -> None:
@@ -88,10 +88,10 @@
             "Status": None,
         }
         self.objects[kind, name] = item
-        self._note(kind, False, item)
+        self._append_event(kind, False, item)
 
     def order(self, pool: str, version: str, seconds: float) -> None:
-        """Write an operator's order; the status of an earlier one stays."""
+        """Write an operator's rollout order; keeps the status of an earlier one."""
         known = self.objects.get(("rollouts", pool))
         spec = {"Service": pool, "To": version, "DurationS": seconds}
         self.put("rollouts", pool, spec)
@@ -99,55 +99,55 @@
             self.objects["rollouts", pool]["Status"] = known["Status"]
 
     def status(self, pool: str) -> dict:
-        """Return the status of a pool's order; empty if there is none."""
+        """Return the status of a pool's rollout order; empty if there is none."""
         return self.objects.get(("rollouts", pool), {}).get("Status") or {}
 
     def remove(self, kind: str, name: str) -> None:
         """Remove an object."""
         item = self.objects.pop((kind, name))
         self.revision += 1
-        self._note(kind, True, item)
+        self._append_event(kind, True, item)
 
     def lapse(self, kind: str, name: str) -> dict:
         """Remove an object without an event, as during an outage."""
         self.revision += 1
         return self.objects.pop((kind, name))
 
-    async def _tell_era(self, _request, response) -> None:
+    async def _add_era_field(self, _request, response) -> None:
         if self.era is not None:
             response.headers["Store-Era"] = self.era
 
     def copy(self) -> tuple[int, dict]:
-        """Return a copy of all objects, with its revision."""
+        """Return the revision and a copy of all objects."""
         return self.revision, copy.deepcopy(self.objects)
 
     def restore(self, kept: tuple[int, dict]) -> None:
-        """Come back from a copy: what was written since is gone, as are watches."""
+        """Restore a copy: later writes are lost and the era increases."""
         self.revision, self.objects = kept[0], copy.deepcopy(kept[1])
         self.history = [entry for entry in self.history if entry[0] <= self.revision]
         self.era = str(int(self.era) + 1)
-        self._wake()
+        self._notify_watchers()
 
     def forget_history(self) -> None:
-        """Drop the history; watches from before get 410."""
+        """Drop the history; watches from earlier revisions get 410."""
         self.history = []
         self.oldest = self.revision
-        self._wake()
+        self._notify_watchers()
 
-    def _note(self, kind: str, removed: bool, item: dict) -> None:
+    def _append_event(self, kind: str, removed: bool, item: dict) -> None:
         self.history.append((self.revision, kind, removed, item))
-        self._wake()
+        self._notify_watchers()
 
-    def _wake(self) -> None:
+    def _notify_watchers(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _refuses(self, request) -> bool:
+    def _is_refused(self, request) -> bool:
         self.calls.append(f"{request.method} {request.path_qs}")
         return self.down or request.match_info["kind"] in self.refused
 
     async def _get(self, request) -> web.Response:
-        if self._refuses(request):
+        if self._is_refused(request):
             return web.Response(status=503)
         kind = request.match_info["kind"]
         if "Watch" in request.query:
@@ -155,7 +155,7 @@
         after = request.query.get("After", "")
         found = sorted(n for k, n in self.objects if k == kind and n > after)
         page = found[:2]
-        return self._tell(
+        return self._answer(
             {
                 "Items": [self.objects[kind, name] for name in page],
                 "HasMore": len(found) > len(page),
@@ -164,7 +164,7 @@
         )
 
     async def _get_one(self, request) -> web.Response:
-        if self._refuses(request):
+        if self._is_refused(request):
             return web.Response(status=503)
         found = self.objects.get(
             (request.match_info["kind"], request.match_info["name"])
@@ -181,12 +181,12 @@
                         return web.Response(status=410)
                     events = self._events(kind, since)
                     if events:
-                        return self._tell({"events": events, "At": self.revision})
+                        return self._answer({"events": events, "At": self.revision})
                     await self._changed.wait()
-        return self._tell({"events": [], "At": self.revision})
+        return self._answer({"events": [], "At": self.revision})
 
-    def _tell(self, body: dict) -> web.Response:
-        """Return an answer; a NaN stands in it as some writers spell it."""
+    def _answer(self, body: dict) -> web.Response:
+        """Return an answer; NaN is written as a bare literal, as some writers do."""
         text = json.dumps(body, separators=(",", ":")).encode()
         if self.spoil:
             text = text.replace(*self.spoil)
@@ -200,7 +200,7 @@
         ]
 
     async def _create(self, request) -> web.Response:
-        if self._refuses(request):
+        if self._is_refused(request):
             return web.Response(status=503)
         body = orjson.loads(await request.read())
         kind, name = request.match_info["kind"], body["Metadata"]["Name"]
@@ -210,7 +210,7 @@
         return _json(self.objects[kind, name])
 
     async def _replace(self, request) -> web.Response:
-        if self._refuses(request):
+        if self._is_refused(request):
             return web.Response(status=503)
         body = orjson.loads(await request.read())
         kind, name = request.match_info["kind"], request.match_info["name"]
@@ -220,7 +220,7 @@
         return _json(self.objects[kind, name])
 
     async def _replace_status(self, request) -> web.Response:
-        if self._refuses(request):
+        if self._is_refused(request):
             return web.Response(status=503)
         body = orjson.loads(await request.read())
         kind, name = request.match_info["kind"], request.match_info["name"]
@@ -235,7 +235,7 @@
         item["Metadata"]["Revision"] = self.revision
         item["Status"] = body["Status"]
         self.objects[kind, name] = item
-        self._note(kind, False, item)
+        self._append_event(kind, False, item)
         return _json(item)
 
 
@@ -246,26 +246,25 @@
 
 
 class TargetStandIn:
-    """A target: one raw reply a request, in order, as `script` says.
+    """Target that answers each request with raw bytes from `script`, in order.
 
     Parameters
     ----------
     name : str
-        Its id; a request for another one gets 421.
+        Target id; a request for another id gets 421.
     script : callable of int, dict, bytes
-        Gets the number of the request, its fields and its body; returns the bytes of
-        the reply, or a list of them with pauses in seconds between. In the list
-        "reset", "close", "crash" and "hang" stand for how a connection, or the whole
-        target, ends.
+        Called with the number of the request, its fields and its body. Returns the
+        bytes of the reply, or a list of bytes and pauses in seconds. In the list,
+        "reset", "close" and "hang" end the connection, "crash" ends the target.
     born : int
-        Unix millisecond of its start; 0 where it does not tell.
+        Start time in Unix milliseconds; 0 to omit it from the entry.
     version : str
-        Of its software.
+        Software version.
 
     Attributes
     ----------
     silent : bool
-        Nothing is answered any more and no connection closed, as behind a cut.
+        Whether to answer nothing and leave connections open, as in a network cut.
     """
 
     def __init__(
@@ -288,7 +287,7 @@
         self.address = ""
 
     async def start(self, port: int = 0) -> None:
-        """Listen on a port, a free one if none is given."""
+        """Listen on a port, by default a free one."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", port)
         port = self._server.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{port}"
@@ -298,14 +297,14 @@
         self._server.close()
 
     def crash(self) -> None:
-        """End all connections at once and refuse new ones, until started again."""
+        """Abort all connections and refuse new ones until restarted."""
         self.crashed.set()
         self._server.close()
         for writer in self._writers:
             writer.transport.abort()
 
     async def start_again(self, name: str) -> None:
-        """Start under another id at the same address, with nothing known."""
+        """Restart with another id at the same address."""
         self.name = name
         self.crashed.clear()
         await self.start(int(self.address.rpartition(":")[2]))
@@ -316,7 +315,7 @@
             writer.transport.abort()
 
     def entry(self, pool: str, state: str = "ready", slots: int = 4) -> dict:
-        """Return what the target writes of itself."""
+        """Return the entry that the target writes about itself."""
         return {
             "Service": pool,
             "Address": self.address,
@@ -348,7 +347,7 @@
     async def _reply(self, request, reader, writer) -> bool:
         line, fields, body = request
         if self.silent:
-            return await self._fall_silent(reader)
+            return await self._hang(reader)
         if fields.get("x-target-instance", self.name) != self.name:
             writer.write(answer(fields, status=421, sealed=False))
             return True
@@ -357,7 +356,7 @@
         parts = self.script(next(self._numbers), fields, body)
         for part in [parts] if isinstance(parts, bytes) else parts:
             if self.silent:
-                return await self._fall_silent(reader)
+                return await self._hang(reader)
             if part == "reset":
                 sock = writer.get_extra_info("socket")
                 linger = struct.pack("ii", 1, 0)
@@ -370,7 +369,7 @@
                 self.crash()
                 return False
             if part == "hang":
-                return await self._fall_silent(reader)
+                return await self._hang(reader)
             if isinstance(part, float):
                 await asyncio.sleep(part)
             else:
@@ -378,8 +377,8 @@
                 await writer.drain()
         return True
 
-    async def _fall_silent(self, reader) -> bool:
-        """Answer no more on a connection, until the other side closes it."""
+    async def _hang(self, reader) -> bool:
+        """Leave a connection unanswered until the client closes it."""
         await reader.read()
         return False
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,11 +1,12 @@
-"""A randomized soak: real processes, faults from outside them, promises checked.
+"""Randomized soak test of real processes with external faults.
 
     python tests/soak.py --seeds 1-50
 
-Each seed makes a deployment, callers and a series of overlapping faults. What the
-callers and the targets saw is checked by `soak_ledger`. Processes are ended by the ids
-with which they were started. Peers speak to each other directly: what the proxies do to
-callers and to the store, stopped processes do to peers.
+Each seed determines a deployment, callers and a series of overlapping faults.
+`soak_ledger` checks the promises on what callers and targets observed. Processes are
+stopped by the ids with which they were started. Proxies disturb the connections to
+callers and to the store. Peers connect to each other directly; suspended processes
+disturb those connections.
 """
 
 import asyncio
@@ -22,7 +23,7 @@
 
 sys.path[:0] = [str(Path(__file__).parent.parent / "examples")]
 
-from soak_ledger import ROLLBACK_S, Ledger, Seen  # noqa: E402
+from soak_ledger import ROLLBACK_S, CallerResult, Ledger  # noqa: E402
 from soak_proxy import Mode  # noqa: E402
 from soak_world import (  # noqa: E402
     CRASH_FIELD,
@@ -42,9 +43,10 @@
 CRASHING_CALLS = 30
 CRASHING_PAUSE_S = 0.4
 SETTLED_WITHIN_S = 30.0
-# An order ends by its deadline; its dispatcher may be lost and the store be away.
+# Time that a rollout may take beyond its deadline, as its dispatcher may be lost or the
+# store unreachable.
 ORDER_GRACE_S = 20.0
-ODD_ENTRIES = (
+INVALID_ENTRIES = (
     None,
     "text",
     {"Service": POOL},
@@ -54,7 +56,7 @@
 
 
 class Callers:
-    """Callers that keep their connections open and send requests of all kinds."""
+    """Callers with persistent connections that send requests of all kinds."""
 
     def __init__(self, world, ledger, rng, count):
         self._world, self._ledger, self._rng = world, ledger, rng
@@ -77,11 +79,11 @@
                     instance = self._rng.choice(self._world.instances)
 
     async def call(self, session, instance, kind, key=None):
-        """Send one request; return what came."""
+        """Send one request and return its result."""
         self._number += 1
         name = f"r{self._number}-{kind}"
         key = key or self._rng.choice(list(CUSTOMERS))
-        seen = Seen(kind, CUSTOMERS[key], where=instance.name)
+        seen = CallerResult(kind, CUSTOMERS[key], where=instance.name)
         self._ledger.seen[name] = seen
         fields = {
             "Host": "h.example",
@@ -99,7 +101,7 @@
         if seen.seal:
             target, now = seen.seal.rpartition(".")[2], time.monotonic()
             target = f"{target}@{seen.start}"
-            self._ledger.passed_on(process, target, sent_at, now, seen.leaves)
+            self._ledger.record_answer(process, target, sent_at, now, seen.leaves)
         return seen
 
     async def _exchange(self, session, url, fields, seen):
@@ -119,24 +121,26 @@
 
 
 class Faults:
-    """The faults of a soak, each a coroutine that ends with everything well again."""
+    """Faults of a soak, each a coroutine that restores the normal state at its end."""
 
     def __init__(self, world, rng, kinds=None):
         self._world, self._rng = world, rng
         self._kinds = kinds or self.KINDS
-        self.told = []
+        self.timeline = []
 
     async def run(self, seconds, count):
-        """Begin `count` faults within so many seconds; they may overlap."""
+        """Start `count` faults within a number of seconds; they may overlap."""
         async with asyncio.TaskGroup() as group:
             for _ in range(count):
                 kind = self._rng.choice(self._kinds)
                 begin = self._rng.uniform(0.0, seconds)
-                group.create_task(self._play(kind, begin, self._rng.uniform(0.2, 3.0)))
+                group.create_task(
+                    self._run_fault(kind, begin, self._rng.uniform(0.2, 3.0))
+                )
 
-    async def _play(self, kind, begin, span):
+    async def _run_fault(self, kind, begin, span):
         await asyncio.sleep(begin)
-        self.told.append(f"{begin:.1f} {kind.__name__} {span:.1f}")
+        self.timeline.append(f"{begin:.1f} {kind.__name__} {span:.1f}")
         await kind(self, span)
 
     def _instance(self):
@@ -145,13 +149,17 @@
     async def _kill(self, span, number=signal.SIGKILL):
         instance = self._instance()
         process = instance.process
-        begun = instance.begun
+        start_logged = instance.start_logged
         instance.signal(signal.SIGCONT)
         instance.signal(number)
-        code = await instance.ended()
-        # Before its start a process holds nothing, and ends by the signal's default.
-        if number == signal.SIGTERM and code not in (0, -signal.SIGKILL) and begun:
-            instance.exits.append(code)
+        code = await instance.wait_exit()
+        # Before its start a process has no requests and the signal's default ends it.
+        if (
+            number == signal.SIGTERM
+            and code not in (0, -signal.SIGKILL)
+            and start_logged
+        ):
+            instance.bad_exit_codes.append(code)
         await asyncio.sleep(span / 3)
         if instance.process is process:
             instance.start()
@@ -210,7 +218,7 @@
         target.fault = ""
 
     async def _target_leaves(self, span):
-        """A target drains and is replaced."""
+        """Drain a target and replace it."""
         world = self._world
         target = self._rng.choice([t for t in world.targets if not t.left_at])
         await world.add_target()
@@ -221,7 +229,7 @@
         world.store.remove("servers", target.name)
 
     async def _target_dies(self, span):
-        """A target crashes; its entry goes later."""
+        """Crash a target; its entry is removed later."""
         world = self._world
         target = self._rng.choice([t for t in world.targets if not t.left_at])
         await world.add_target()
@@ -232,7 +240,7 @@
         world.store.remove("servers", target.name)
 
     async def _target_restarts(self, span):
-        """Targets start again under their ids, one after the other."""
+        """Restart targets under their ids, one after the other."""
         world = self._world
         for _ in range(self._rng.randrange(1, 4)):
             staying = [t for t in world.targets if not t.left_at]
@@ -241,12 +249,12 @@
             await asyncio.sleep(span / 3)
 
     async def _odd_entries(self, span):
-        """Another writer's entries: new ones, and over one of a target for a time."""
+        """Write invalid entries: new ones, and for a time one in place of a target's."""
         world = self._world
         for n in range(2):
-            world.store.put("servers", f"odd{n}", self._rng.choice(ODD_ENTRIES))
+            world.store.put("servers", f"odd{n}", self._rng.choice(INVALID_ENTRIES))
         target = self._rng.choice([t for t in world.targets if not t.left_at])
-        world.store.put("servers", target.name, self._rng.choice(ODD_ENTRIES))
+        world.store.put("servers", target.name, self._rng.choice(INVALID_ENTRIES))
         await asyncio.sleep(span)
         if target in world.targets and not target.left_at:
             entry = target.entry(POOL, slots=SLOTS)
@@ -256,9 +264,9 @@
         self._world.configure()
 
     async def _crashing_request(self, span):
-        """A request that crashes targets comes again and again, anywhere."""
+        """Send a request that crashes targets repeatedly, to random instances."""
         replacing = asyncio.create_task(self._world.replace_crashed(span / 4))
-        name = f"crash{len(self.told)}"
+        name = f"crash{len(self.timeline)}"
         try:
             async with aiohttp.ClientSession() as session:
                 for number in range(CRASHING_CALLS):
@@ -286,11 +294,11 @@
                 await response.read()
 
     async def _says_it_leaves(self, span):
-        """A target tells in its answers that it leaves; the list tells it later."""
+        """Let a target announce in answers that it leaves, before its entry does."""
         world = self._world
         target = self._rng.choice([t for t in world.targets if not t.left_at])
         await world.add_target()
-        target.says_so = True
+        target.announces_leaving = True
         await asyncio.sleep(6.0 + span)
         if target not in world.targets or target.crashed.is_set():
             return
@@ -299,10 +307,10 @@
         target.left_at = time.monotonic()
 
     async def _rollout(self, span):
-        """The operator moves the pool to another version, good or bad."""
+        """Order a rollout of a good or bad version."""
         world, ledger = self._world, self._world.ledger
-        async with world.rollout:
-            version, before = f"v{len(ledger.versions) + 1}", f"v{world.software}"
+        async with world.rollout_lock:
+            version, before = f"v{len(ledger.versions) + 1}", f"v{world.version_number}"
             new = [await world.add_target(version) for _ in range(4)]
             await asyncio.sleep(span / 3)
             if self._rng.random() < 0.5:
@@ -311,10 +319,10 @@
             ledger.versions.add(version)
             duration = 4.0 + span
             world.store.order(POOL, version, duration)
-            state = await self._ended(version, duration)
-            self.told.append(f"{version} {state or 'without an end'}")
+            state = await self._wait_final_state(version, duration)
+            self.timeline.append(f"{version} {state or 'without an end'}")
             if state == "completed":
-                world.software = len(ledger.versions)
+                world.version_number = len(ledger.versions)
                 await world.stop_version(before)
                 return
             ledger.taken_back[version] = time.monotonic()
@@ -323,8 +331,8 @@
             await asyncio.sleep(ROLLBACK_S + span)
             await world.stop_version(version)
 
-    async def _ended(self, version, duration):
-        """Return how an order ended; empty if it did not."""
+    async def _wait_final_state(self, version, duration):
+        """Return the final state of a rollout order; empty if it did not end."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(duration + ORDER_GRACE_S):
                 while True:
@@ -333,7 +341,7 @@
                     if state != "running" and status.get("To") == version:
                         return state
                     await asyncio.sleep(0.02)
-        self._world.ledger.late.append("an order that did not end")
+        self._world.ledger.late.append("a rollout order that did not end")
         return ""
 
     async def _store_restored(self, span):
@@ -344,7 +352,7 @@
         _caller_path, _resets, _silence, _target_fault, _target_leaves, _target_dies,
         _configure, _kill, _term, _pause,
     )  # fmt: skip
-    # The seeds of earlier soaks were drawn from the kinds above, and stay as they are.
+    # Seeds of earlier soaks refer to the kinds above, which must not change.
     ALL_KINDS = (*KINDS, _target_restarts, _target_restarts, _odd_entries)
     NEWEST_KINDS = (
         *ALL_KINDS, _crashing_request, _crashing_request, _says_it_leaves,
@@ -356,48 +364,55 @@
 async def soak(
     seed, folder, instances=None, seconds=8.0, faults=None, callers=12, kinds=None
 ):
-    """Play one seed; return the findings, and what was done."""
+    """Run one seed; return the findings and a summary with the injected faults."""
     rng = random.Random(seed)
     count = instances or rng.choice((3, 5, 8, 14))
     ledger = Ledger()
     world = World(folder, rng, ledger, count, targets=4)
-    people = Callers(world, ledger, rng, callers)
-    trouble = Faults(world, rng, kinds)
+    caller_group = Callers(world, ledger, rng, callers)
+    fault_schedule = Faults(world, rng, kinds)
     try:
         await world.start()
         async with aiohttp.ClientSession() as session:
-            findings = [f"{n} never began" for n in await world.all_ready(session)]
-            calling = asyncio.create_task(people.run())
-            await trouble.run(seconds, faults or rng.randrange(4, 14))
-            findings += [f"{n} not back" for n in await world.all_ready(session)]
-            people.stopping = True
+            findings = [
+                f"{n} never became ready" for n in await world.all_ready(session)
+            ]
+            calling = asyncio.create_task(caller_group.run())
+            await fault_schedule.run(seconds, faults or rng.randrange(4, 14))
+            findings += [
+                f"{n} not ready after the faults"
+                for n in await world.all_ready(session)
+            ]
+            caller_group.stopping = True
             await calling
-            findings += await _settled(world, people, session)
+            findings += await _check_all_serve(world, caller_group, session)
     finally:
         await world.stop()
     for instance in world.instances:
-        findings += [f"{instance.name} exited {code}" for code in instance.exits]
+        findings += [
+            f"{instance.name} exited {code}" for code in instance.bad_exit_codes
+        ]
     findings += ledger.findings()
     statuses = {}
     for seen in ledger.seen.values():
         statuses[seen.status] = statuses.get(seen.status, 0) + 1
     served = f"{count} instances, {dict(sorted(statuses.items()))}"
-    return findings, [served, *trouble.told]
+    return findings, [served, *fault_schedule.timeline]
 
 
-async def _settled(world, people, session):
-    """Return which instances do not serve safe requests once all is well again."""
+async def _check_all_serve(world, caller_group, session):
+    """Return the instances that do not serve safe requests after the faults."""
     findings = []
     for instance in world.instances:
         wanted = SETTLED_CALLS
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(SETTLED_WITHIN_S):
                 while wanted:
-                    seen = await people.call(session, instance, "safe", "key-one")
+                    seen = await caller_group.call(session, instance, "safe", "key-one")
                     wanted -= seen.status == 200
                     await asyncio.sleep(0.02)
         if wanted:
-            findings.append(f"{instance.name} serves no more")
+            findings.append(f"{instance.name} no longer serves requests")
     return findings
 
 
@@ -409,11 +424,13 @@
 
 @click.command()
 @click.option("--seeds", default="1-50", help="For instance 3,7 or 1-50.")
-@click.option("--instances", type=int, help="Processes; by the seed if not told.")
-@click.option("--seconds", default=8.0, help="In which faults begin.")
+@click.option(
+    "--instances", type=int, help="Number of instances; default: by the seed."
+)
+@click.option("--seconds", default=8.0, help="Seconds within which faults start.")
 @click.option("--keep", is_flag=True, help="Keep the folders with settings and logs.")
 def main(seeds, instances, seconds, keep):
-    """Play seeds; exit 1 if a promise was broken."""
+    """Run seeds; exit with 1 if a promise was broken."""
     failed = []
     for seed in _parse(seeds):
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
--- a/tests/soak_proxy.py
+++ b/tests/soak_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy for the soak: delays, resets, cuts and silences connections."""
+"""Loopback proxy that delays, resets, cuts and silences connections."""
 
 import asyncio
 import contextlib
@@ -11,7 +11,7 @@
 
 
 class Mode(enum.Enum):
-    """What happens to bytes between the two sides."""
+    """Treatment of the bytes between the two sides."""
 
     PASS = "pass"
     DELAY = "delay"
@@ -21,23 +21,23 @@
     REFUSE = "refuse"
 
 
-_STOPPED = {
+_BLOCKING_MODES = {
     "up": {Mode.SILENT, Mode.CUT_UP},
     "down": {Mode.SILENT, Mode.CUT_DOWN},
 }
 
 
 class Proxy:
-    """Passes connections from one loopback address on to another.
+    """Proxy that forwards connections from one loopback address to another.
 
     Parameters
     ----------
     host : str
-        Where it listens, on a port of its own.
+        Address to listen on.
     port : int
-        The port.
+        Port to listen on.
     forward : callable
-        Returns host and port of the other side, asked for with each connection.
+        Returns host and port of the other side; called for each connection.
     """
 
     def __init__(self, host, port, forward):
@@ -48,7 +48,7 @@
         self._delay = 0.0
         self._changed = asyncio.Event()
         self._writers = set()
-        self._deaf = set()
+        self._silenced = set()
         self._tasks = set()
         self._server = None
 
@@ -62,7 +62,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def set(self, mode, delay=0.0):
-        """Change what happens to all bytes, also those on their way."""
+        """Change the treatment of all bytes, including those in transit."""
         self._mode, self._delay = mode, delay
         self._changed.set()
         self._changed = asyncio.Event()
@@ -73,15 +73,15 @@
             _abort(writer)
 
     def silence_open(self):
-        """Silence the open connections for good; new ones work."""
-        self._deaf |= self._writers
+        """Silence the open connections permanently; new ones work."""
+        self._silenced |= self._writers
 
     async def _accept(self, reader, writer):
         task = asyncio.current_task()
         self._tasks.add(task)
         try:
             if self._mode is not Mode.REFUSE:
-                await self._join(reader, writer)
+                await self._forward_connection(reader, writer)
         except (OSError, asyncio.CancelledError):
             # Nothing listens on the other side, or the soak is over.
             pass
@@ -89,30 +89,30 @@
             _abort(writer)
             self._tasks.discard(task)
 
-    async def _join(self, reader, writer):
-        theirs, ours = await asyncio.open_connection(*self._forward())
-        self._writers |= {writer, ours}
+    async def _forward_connection(self, reader, writer):
+        remote_reader, remote_writer = await asyncio.open_connection(*self._forward())
+        self._writers |= {writer, remote_writer}
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pump(reader, ours, "up"))
-                group.create_task(self._pump(theirs, writer, "down"))
+                group.create_task(self._copy(reader, remote_writer, "up"))
+                group.create_task(self._copy(remote_reader, writer, "down"))
         except* (OSError, EOFError):
             pass
         finally:
-            self._writers -= {writer, ours}
-            self._deaf -= {writer, ours}
-            _abort(ours)
+            self._writers -= {writer, remote_writer}
+            self._silenced -= {writer, remote_writer}
+            _abort(remote_writer)
 
-    async def _pump(self, reader, writer, way):
+    async def _copy(self, reader, writer, direction):
         while data := await reader.read(PIECE_BYTES):
             if self._mode is Mode.DELAY:
                 await asyncio.sleep(self._delay)
-            while self._mode in _STOPPED[way]:
+            while self._mode in _BLOCKING_MODES[direction]:
                 await self._changed.wait()
-            if writer not in self._deaf:
+            if writer not in self._silenced:
                 writer.write(data)
                 await writer.drain()
-        if writer.can_write_eof() and writer not in self._deaf:
+        if writer.can_write_eof() and writer not in self._silenced:
             with contextlib.suppress(OSError):
                 writer.write_eof()
 
--- a/tests/soak_world.py
+++ b/tests/soak_world.py
@@ -1,4 +1,4 @@
-"""The soak's processes and what stands around them: store, targets, proxies."""
+"""Processes of the soak and their environment: store, targets and proxies."""
 
 import asyncio
 import os
@@ -18,42 +18,42 @@
     configuration,
     stream_head,
 )
-from soak_ledger import Run, body_of, events
+from soak_ledger import TargetRun, body_of, events
 from soak_proxy import Proxy
 
 POOL = "pool-a"
-# A target that gets it crashes; by its value requests are told apart.
+# Crashes the target that receives it; the value identifies the request.
 CRASH_FIELD = "x-crash"
 LEAVING_FIELD = "Server-Leaving"
-# Tells callers which start of a target answered; its id may be that of another one.
+# Identifies the start of the target that answered, as ids are reused.
 START_FIELD = "X-Start"
 GRACE_S = 2
 SLOTS = 6
 READY_PATH = "/hibiscusstep/ready"
-# An instance that is well shows it within this time, also beside other work.
+# Time until a healthy instance reports ready, also on a busy machine.
 RECOVERED_WITHIN_S = 60.0
-# Three seconds are promised; the rest is for a busy machine.
+# Three seconds are promised; the rest is tolerance for a busy machine.
 LEFT_AFTER_S = 10.0
 
 
 class SoakTarget(TargetStandIn):
-    """A target that keeps the ledger, and may misbehave.
+    """Target that records its runs in the ledger and can have faults.
 
     Attributes
     ----------
     fault : str
-        What it does to some requests: '', 'grey', 'shed', 'reset', 'garble', 'slow'.
+        Fault of some requests: '', 'grey', 'shed', 'reset', 'garble' or 'slow'.
     left_at : float
-        When the store was told that it leaves; 0 if it does not.
-    says_so : bool
-        Whether all its answers tell that it leaves.
+        Time at which its entry reported that it leaves; 0 if it does not.
+    announces_leaving : bool
+        Whether all its answers announce that it leaves.
     """
 
     def __init__(self, name, ledger, rng, born=0, version="v1"):
         super().__init__(name, self._work, born, version)
         self.fault = ""
         self.left_at = 0.0
-        self.says_so = False
+        self.announces_leaving = False
         self._ledger = ledger
         self._rng = rng
 
@@ -67,9 +67,9 @@
         if hit and self.fault == "shed":
             return answer(fields, b"", status=503, sealed=False, not_run=True)
         self._ledger.runs[name].append(
-            Run(self.name, fields.get("x-tenant", ""), fields)
+            TargetRun(self.name, fields.get("x-tenant", ""), fields)
         )
-        self._ledger.ran(name, self.version)
+        self._ledger.record_run(name, self.version)
         if self.left_at and time.monotonic() > self.left_at + LEFT_AFTER_S:
             self._ledger.late.append(f"{name} at {self.name}")
         pause = [self._rng.uniform(0.0, 0.05) + (0.5 if hit == "slow" else 0.0)]
@@ -77,7 +77,7 @@
 
     def _answer(self, name, fields, fault):
         seal = f"X-Response-Seal: {name}.{self.name}\n{START_FIELD}: {self.born}"
-        if self.says_so:
+        if self.announces_leaving:
             seal += f"\n{LEAVING_FIELD}: 1"
         if fault == "grey":
             yield answer(fields, b"failed", status=500, sealed=False, extra=seal)
@@ -113,11 +113,11 @@
 
 
 class Instance:
-    """One real process, its settings, and its proxies to callers and to the store."""
+    """Process of an instance, with its settings and proxies to callers and store."""
 
     def __init__(self, world, number):
         self.name = f"n{number}"
-        self.ip = f"127.77.{world.net}.{number + 1}"
+        self.ip = f"127.77.{world.network}.{number + 1}"
         self._world = world
         self._path = world.folder / f"{self.name}.json"
         caller, ready, peer, to_store, from_callers = world.ports
@@ -128,13 +128,13 @@
         self.callers = Proxy(self.ip, from_callers, lambda: (self.ip, caller))
         self.process = None
         self.paused = False
-        self.exits = []
-        self.trail = []
+        self.bad_exit_codes = []
+        self.actions = []
         self._log = world.folder / f"{self.name}.log"
         self._logged = 0
 
     def write_settings(self, slack=50):
-        """Write the settings file; `slack` tells versions apart."""
+        """Write the settings file; `slack` differs between versions of it."""
         settings = {
             "NodeName": self.name,
             "Ip": self.ip,
@@ -142,14 +142,14 @@
             "Region": "r",
             "Listen": {"Front": self.caller_address, "Ready": self._ready},
             "InternalPorts": [self.peer_port, self.peer_port],
-            "Seeds": [f"127.77.{self._world.net}.{n}:1" for n in (1, 2, 3)],
+            "Seeds": [f"127.77.{self._world.network}.{n}:1" for n in (1, 2, 3)],
             "Bounds": {"GraceS": GRACE_S, "RetryBudgetSlack": slack},
             "Platform": {"Address": self.store.address},
         }
         self._path.write_bytes(orjson.dumps(settings))
 
     def start(self):
-        """Start the process; a log file takes what it writes."""
+        """Start the process with its output in a log file."""
         environment = {
             **os.environ,
             "HIBISCUSSTEP_SETTINGS": str(self._path),
@@ -164,39 +164,39 @@
                 stdout=log,
                 stderr=subprocess.STDOUT,
             )
-        self._note(f"started {self.process.pid}")
+        self._record_action(f"started {self.process.pid}")
 
     @property
-    def begun(self):
-        """Whether the process that was started last has told of its start."""
+    def start_logged(self):
+        """Whether the last started process has logged its start."""
         return b'"message": "start"' in self._log.read_bytes()[self._logged :]
 
     def signal(self, number):
         """Send a signal to this process, if it still runs."""
         if self.process.poll() is None:
-            self._note(f"signal {number} to {self.process.pid}")
+            self._record_action(f"signal {number} to {self.process.pid}")
             self.process.send_signal(number)
             self.paused = {signal.SIGSTOP: True, signal.SIGCONT: False}.get(
                 number, self.paused
             )
 
-    def _note(self, what):
-        """Remember what was done to the process, for findings."""
-        self.trail.append(f"{time.monotonic() - self._world.began:.2f} {what}")
+    def _record_action(self, what):
+        """Record an action on the process, for findings."""
+        self.actions.append(f"{time.monotonic() - self._world.started_at:.2f} {what}")
 
     def state(self):
-        """Return what was done to the process, and whether it lives."""
-        return f"{self.name}: {', '.join(self.trail)}, exit {self.process.poll()}"
+        """Return the actions on the process and its exit code."""
+        return f"{self.name}: {', '.join(self.actions)}, exit {self.process.poll()}"
 
-    async def ended(self, bound=30.0):
-        """Return the exit code of the process, waited for without blocking."""
+    async def wait_exit(self, bound=30.0):
+        """Wait for the end of the process without blocking and return its exit code."""
         async with asyncio.timeout(bound):
             while (code := self.process.poll()) is None:
                 await asyncio.sleep(0.02)
         return code
 
     async def ready(self, session):
-        """Whether it says that callers may be sent there."""
+        """Return whether the instance reports that it is ready for callers."""
         try:
             async with asyncio.timeout(2.0), session.get(self.ready_url) as response:
                 return response.status == 200
@@ -205,42 +205,42 @@
 
 
 class World:
-    """Store, targets and instances of one soak.
+    """Store, targets and instances of a soak.
 
     Parameters
     ----------
     folder : Path
-        For settings and logs.
+        Folder for settings and logs.
     rng : random.Random
-        Decides what a seed decides.
+        Random generator of the seed.
     ledger : Ledger
-        Where runs are noted.
+        Receives the runs.
     instances, targets : int
-        How many.
+        Number of each.
     """
 
     def __init__(self, folder, rng, ledger, instances, targets):
         self.folder = folder
         self.ledger = ledger
         self.ports = free_ports(5)
-        self.began = time.monotonic()
-        self.net = os.getpid() % 250
+        self.started_at = time.monotonic()
+        self.network = os.getpid() % 250
         self.store = StoreStandIn()
         self._rng = rng
         self._names = 0
-        self._version = 1
-        self.software = 1
-        self.rollout = asyncio.Lock()
-        self._wanted = instances, targets
+        self._configuration_version = 1
+        self.version_number = 1
+        self.rollout_lock = asyncio.Lock()
+        self._numbers_to_start = instances, targets
         self.targets = []
         self.instances = []
 
     async def start(self):
         await self.store.start()
         self.configure()
-        for _ in range(self._wanted[1]):
+        for _ in range(self._numbers_to_start[1]):
             await self.add_target()
-        self.instances = [Instance(self, n) for n in range(self._wanted[0])]
+        self.instances = [Instance(self, n) for n in range(self._numbers_to_start[0])]
         for instance in self.instances:
             await instance.store.start()
             await instance.callers.start()
@@ -248,7 +248,7 @@
             instance.start()
 
     async def stop(self):
-        """End the processes that were started here, by their ids."""
+        """Stop the processes started here, by their ids."""
         for instance in self.instances:
             if instance.process and instance.process.poll() is None:
                 instance.signal(signal.SIGCONT)
@@ -261,20 +261,20 @@
         await self.store.stop()
 
     def configure(self):
-        """Put a new version into force: a route and a key come, others go."""
-        self._version += 1 + self._rng.randrange(3)
-        document = configuration(self._version)
-        extra = {**document["Routes"][0], "Name": f"x{self._version}"}
-        extra["PathPrefix"] = f"/x{self._version}/"
+        """Write a new configuration in which one route and one key are replaced."""
+        self._configuration_version += 1 + self._rng.randrange(3)
+        document = configuration(self._configuration_version)
+        extra = {**document["Routes"][0], "Name": f"x{self._configuration_version}"}
+        extra["PathPrefix"] = f"/x{self._configuration_version}/"
         document["Routes"].append(extra)
         document["Tenants"][1] |= {"RatePerS": 0, "Burst": 0}
-        document["Tenants"][0]["ApiKeys"].append(f"key-{self._version}")
+        document["Tenants"][0]["ApiKeys"].append(f"key-{self._configuration_version}")
         self.store.put("config", "main", document)
 
     async def add_target(self, version=""):
-        """Start a target, of the version in force if not told, and register it."""
+        """Start and register a target, by default of the current version."""
         self._names += 1
-        version = version or f"v{self.software}"
+        version = version or f"v{self.version_number}"
         target = SoakTarget(f"t{self._names}", self.ledger, self._rng, version=version)
         await target.start()
         self.targets.append(target)
@@ -282,7 +282,7 @@
         return target
 
     async def replace_crashed(self, after):
-        """Start another target for each that crashes, until cancelled."""
+        """Replace crashed targets until cancelled."""
         while True:
             if any(target.crashed.is_set() for target in self.targets):
                 await asyncio.sleep(after)
@@ -290,14 +290,14 @@
             await asyncio.sleep(0.05)
 
     async def replace_all_crashed(self):
-        """Start another target for each that has crashed."""
+        """Replace all crashed targets."""
         for target in [t for t in self.targets if t.crashed.is_set()]:
             self.targets.remove(target)
             self.store.remove("servers", target.name)
             await self.add_target()
 
     async def restore_store(self, span):
-        """Bring the store back from a copy; who wrote to it writes again."""
+        """Restore the store from a copy; the other writers then write again."""
         kept = self.store.copy()
         await asyncio.sleep(span)
         document = self.store.objects["config", "main"]["Spec"]
@@ -318,7 +318,7 @@
             self.store.put("servers", target.name, entry)
 
     async def stop_version(self, version):
-        """End all targets of a version at once, as the operator's platform does."""
+        """Stop all targets of a version at once, as the operator's platform does."""
         for target in [t for t in self.targets if t.version == version]:
             self.ledger.crashed.add(target.name)
             self.targets.remove(target)
@@ -327,16 +327,16 @@
                 self.store.remove("servers", target.name)
 
     def drain_version(self, version):
-        """Let all targets of a version tell that they leave."""
+        """Mark all targets of a version as leaving in their entries."""
         for target in [t for t in self.targets if t.version == version]:
             target.left_at = time.monotonic()
             leaving = target.entry(POOL, state="draining", slots=SLOTS)
             self.store.put("servers", target.name, leaving)
 
     async def restart_target(self, target, reset):
-        """Start a target again under its id; all that it held is lost.
+        """Restart a target under its id; its open requests are lost.
 
-        Its connections are reset, or stay as they are and silent, as behind a cut.
+        Its connections are reset, or stay open but silent, as in a network cut.
         """
         self.ledger.crashed.add(target.name)
         target.silent = True
@@ -350,7 +350,7 @@
         self.store.put("servers", again.name, again.entry(POOL, slots=SLOTS))
 
     async def all_ready(self, session):
-        """Return the instances that do not say within the bound that they are ready."""
+        """Return the instances that do not report ready within the time limit."""
         waiting = set(self.instances)
         try:
             async with asyncio.timeout(RECOVERED_WITHIN_S):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Short soaks with fixed seeds, seeds that failed once, and the soak's own checks."""
+"""Short soaks with fixed seeds, seeds that failed once, and tests of the ledger."""
 
 import asyncio
 import random
@@ -7,25 +7,25 @@
 import aiohttp
 import pytest
 from soak import Faults, soak
-from soak_ledger import Ledger, Run, Seen, body_of, events
+from soak_ledger import CallerResult, Ledger, TargetRun, body_of, events
 from soak_world import World
 
-# Seeds that broke a promise once, each with the cause.
+# Seeds that broke a promise once, with the cause.
 REGRESSIONS = [
-    # An instance was told to stop before it had started: the soak's own mistake.
+    # A stop signal arrived before an instance had started: a fault of the soak.
     (18, Faults.KINDS),
-    # One of 14 was not back after 60 s, once; not repeated, cause open.
+    # One of 14 instances was not ready after 60 s, once; not reproduced, cause unknown.
     (63, Faults.KINDS),
-    # A second stop in the last moments made a failure of a whole end.
+    # A second stop signal at the very end turned a clean exit into a failure.
     (119, Faults.ALL_KINDS),
     (137, Faults.ALL_KINDS),
-    # A signal to read the settings again ended a process that was starting.
+    # A reload signal ended a process that was starting.
     (236, Faults.ALL_KINDS),
     (141, Faults.ALL_KINDS),
-    # A target that had said it leaves started again under its id and was used: rightly,
-    # the soak's own mistake.
+    # A target that had announced to leave restarted under its id and was used, which is
+    # correct: a fault of the soak.
     (319, Faults.NEWEST_KINDS),
-    # SIGHUP ended a process that was loading its libraries.
+    # SIGHUP ended a process that was importing its libraries.
     (334, Faults.NEWEST_KINDS),
 ]
 
@@ -34,19 +34,23 @@
     @pytest.mark.timeout(240)
     @pytest.mark.parametrize("seed", [4, 6])
     async def test_no_promise_is_broken(self, seed, tmp_path):
-        findings, told = await soak(seed, tmp_path, 3, seconds=4.0, faults=5, callers=6)
-        assert not findings, told
+        findings, faults_run = await soak(
+            seed, tmp_path, 3, seconds=4.0, faults=5, callers=6
+        )
+        assert not findings, faults_run
 
     @pytest.mark.timeout(240)
     @pytest.mark.parametrize(("seed", "kinds"), REGRESSIONS)
     async def test_what_failed_once(self, seed, kinds, tmp_path):
-        findings, told = await soak(seed, tmp_path, kinds=kinds)
-        assert not findings, told
+        findings, faults_run = await soak(seed, tmp_path, kinds=kinds)
+        assert not findings, faults_run
 
     @pytest.mark.timeout(240)
     async def test_nor_in_a_region_with_relays(self, tmp_path):
-        findings, told = await soak(5, tmp_path, 14, seconds=4.0, faults=5, callers=6)
-        assert not findings, told
+        findings, faults_run = await soak(
+            5, tmp_path, 14, seconds=4.0, faults=5, callers=6
+        )
+        assert not findings, faults_run
 
     @pytest.mark.timeout(240)
     @pytest.mark.parametrize("seed", [101, 102])
@@ -56,14 +60,14 @@
         kinds = (
             Faults._target_restarts, Faults._odd_entries, Faults._kill, Faults._silence
         )  # fmt: skip
-        findings, told = await soak(
+        findings, faults_run = await soak(
             seed, tmp_path, 3, seconds=4.0, faults=7, callers=6, kinds=kinds
         )
-        assert not findings, told
+        assert not findings, faults_run
 
 
 class TestSoakOfWhatTargetsSay:
-    """Requests that crash targets, targets that say they leave, an older store."""
+    """Requests that crash targets, targets that announce to leave, a restored store."""
 
     KINDS = (
         Faults._crashing_request, Faults._says_it_leaves, Faults._store_restored,
@@ -73,14 +77,14 @@
     @pytest.mark.timeout(240)
     @pytest.mark.parametrize("seed", [301, 302])
     async def test_no_promise_is_broken(self, seed, tmp_path):
-        findings, told = await soak(
+        findings, faults_run = await soak(
             seed, tmp_path, 3, seconds=4.0, faults=6, callers=6, kinds=self.KINDS
         )
-        assert not findings, told
+        assert not findings, faults_run
 
 
 class TestSoakOfRollouts:
-    """Orders to change the pool's version, good and bad, beside other faults."""
+    """Rollouts of good and bad versions of the pool, with other faults."""
 
     KINDS = (
         Faults._rollout, Faults._rollout, Faults._kill, Faults._store_down,
@@ -90,18 +94,18 @@
     @pytest.mark.timeout(240)
     @pytest.mark.parametrize("seed", [401, 402])
     async def test_no_promise_is_broken(self, seed, tmp_path):
-        findings, told = await soak(
+        findings, faults_run = await soak(
             seed, tmp_path, 3, seconds=4.0, faults=4, callers=8, kinds=self.KINDS
         )
-        assert not findings, told
+        assert not findings, faults_run
 
 
 class TestSignalsUntilTheEnd:
-    """A process that had served all ended by a second signal instead of with 0.
+    """A second signal at the end must not change the exit code of a clean exit.
 
-    Seeds 119 and 137 of a soak found it: two stops of one instance, 1.2 s apart. Once
-    its loop is closed the handlers are gone, and the interpreter takes some tens of
-    milliseconds more to end.
+    Seeds 119 and 137 of a soak found it with two stops of one instance, 1.2 s apart.
+    When the loop closes, its signal handlers are removed, and the interpreter takes
+    some tens of milliseconds more to end.
     """
 
     @pytest.mark.timeout(120)
@@ -112,7 +116,7 @@
             async with aiohttp.ClientSession() as session:
                 assert not await world.all_ready(session)
             (instance,) = world.instances
-            ended = asyncio.create_task(instance.ended())
+            ended = asyncio.create_task(instance.wait_exit())
             while not ended.done():
                 instance.signal(signal.SIGTERM)
                 await asyncio.sleep(0.002)
@@ -122,16 +126,16 @@
 
 
 class TestLedger:
-    """Each promise is found broken in a history that breaks it."""
+    """The ledger reports each promise that a history breaks."""
 
     def _ledger(self, kind="safe", **seen):
         ledger = Ledger()
-        ledger.runs["r"].append(Run("t", "one", {}))
+        ledger.runs["r"].append(TargetRun("t", "one", {}))
         body = (
             b"".join(events("r")) if kind in ("resume", "stream") else body_of("r", "t")
         )
         whole = {"status": 200, "whole": True, "body": body, "seal": "r.t"}
-        ledger.seen["r"] = Seen(kind, "one", **{**whole, **seen})
+        ledger.seen["r"] = CallerResult(kind, "one", **{**whole, **seen})
         return ledger
 
     @pytest.mark.parametrize("kind", ["safe", "once", "resume", "stream"])
@@ -157,7 +161,7 @@
     @pytest.mark.parametrize("kind", ["once", "stream"])
     def test_a_second_run(self, kind):
         ledger = self._ledger(kind)
-        ledger.runs["r"].append(Run("u", "one", {}))
+        ledger.runs["r"].append(TargetRun("u", "one", {}))
         assert ledger.findings()
 
     @pytest.mark.parametrize("fields", [{"authorization": "k"}, {"x-hold": "h"}])
@@ -173,19 +177,19 @@
 
     def test_a_run_that_nobody_sent(self):
         ledger = self._ledger()
-        ledger.runs["s"].append(Run("t", "one", {}))
+        ledger.runs["s"].append(TargetRun("t", "one", {}))
         assert ledger.findings()
 
     def test_work_for_a_version_that_nobody_ordered(self):
         ledger = self._ledger()
-        ledger.ran("r", "v2")
+        ledger.record_run("r", "v2")
         assert ledger.findings()
 
     def test_work_for_a_version_that_was_taken_back(self):
         ledger = self._ledger()
         ledger.versions.add("v2")
         ledger.taken_back["v2"] = -1e6
-        ledger.ran("r", "v2")
+        ledger.record_run("r", "v2")
         assert ledger.findings()
 
     def test_work_for_a_target_that_left(self):
--- a/tests/write_faults.py
+++ b/tests/write_faults.py
@@ -1,4 +1,4 @@
-"""Writes docs/FAULTS.md from the results of the fault matrix."""
+"""Generates docs/FAULTS.md from the results of the fault matrix tests."""
 
 import sys
 import xml.etree.ElementTree as tree
@@ -32,7 +32,7 @@
 - Cells marked - : the step does not occur for that kind, or adds nothing to *charge*.
 - Pairs other than those listed; three faults at once.
 """
-SHORT = {
+RESULT_TEXTS = {
     "whole": "**whole**",
     "outcome unknown": "*unknown*",
     "not run": "*not run*",
@@ -42,40 +42,44 @@
 
 
 def main(results, target):
-    """Write the table."""
-    seen = dict(read(results))
-    parts = [HEAD, summary(seen)]
+    """Write the page."""
+    by_cell = dict(read_results(results))
+    parts = [HEAD, make_summary(by_cell)]
     for kind in KINDS:
-        parts.append(table(kind, seen))
+        parts.append(make_table(kind, by_cell))
     parts.append(NOT_RUN)
     Path(target).write_text("\n".join(parts))
 
 
-def read(path):
-    """Yield cell name and result of each test of a JUnit file."""
+def read_results(path):
+    """Yield the cell name and result of each test in a JUnit file."""
     for case in tree.parse(path).iter("testcase"):
         properties = {p.get("name"): p.get("value") for p in case.iter("property")}
         if "cell" in properties:
             bad = case.find("failure") is not None or case.find("error") is not None
-            result = "**BROKEN PROMISE**" if bad else SHORT[properties["outcome"]]
+            result = (
+                "**BROKEN PROMISE**" if bad else RESULT_TEXTS[properties["outcome"]]
+            )
             yield properties["cell"], result
 
 
-def summary(seen):
-    """Return the counts in a line."""
-    broken = sum(result == "**BROKEN PROMISE**" for result in seen.values())
-    return f"{len(seen)} cells of {len(cells())} run, {broken} with a broken promise.\n"
+def make_summary(by_cell):
+    """Return a line with the number of cells and broken promises."""
+    broken = sum(result == "**BROKEN PROMISE**" for result in by_cell.values())
+    return (
+        f"{len(by_cell)} cells of {len(cells())} run, {broken} with a broken promise.\n"
+    )
 
 
-def table(kind, seen):
-    """Return the table of one kind."""
+def make_table(kind, by_cell):
+    """Return the table of a kind of request."""
     faults = [(name,) for name in FAULTS] + PAIRS
     lines = [f"## {kind}\n", "| fault \\ step | " + " | ".join(STEPS) + " |"]
     lines.append("|" + " --- |" * (len(STEPS) + 1))
     for names in faults:
         fault = " + ".join(names)
-        cells_of = (seen.get(f"{kind} / {step} / {fault}", "-") for step in STEPS)
-        lines.append(f"| {fault} | " + " | ".join(cells_of) + " |")
+        row_cells = (by_cell.get(f"{kind} / {step} / {fault}", "-") for step in STEPS)
+        lines.append(f"| {fault} | " + " | ".join(row_cells) + " |")
     return "\n".join(lines) + "\n"
 
 
