--- a/hibiscusstep/cmdline/load.py
+++ b/hibiscusstep/cmdline/load.py
@@ -15,7 +15,7 @@
 from hibiscusstep.cmdline.common import EXIT_CODES, one_line_errors, run
 from hibiscusstep.events import read_history
 from hibiscusstep.load.account import analyze_log
-from hibiscusstep.load.compare import Deployment, compare, summarize
+from hibiscusstep.load.compare import RunningSystem, compare, summarize
 from hibiscusstep.load.drive import Driver
 from hibiscusstep.load.experiment import gain_table, run_experiment
 from hibiscusstep.load.mix import arrivals, load_mix
@@ -189,7 +189,7 @@
     async def replay():
         client = OperatorClient(entry, key)
         store = get_platform_by_name("http")(platform)
-        deployment = Deployment(callers, client, store, platform)
+        deployment = RunningSystem(callers, client, store, platform)
         try:
             return await compare(
                 load_mix(mix),
--- a/hibiscusstep/load/compare.py
+++ b/hibiscusstep/load/compare.py
@@ -17,7 +17,7 @@
 from hibiscusstep.operations import OperatorClient
 from hibiscusstep.store import Platform
 
-__all__ = ["Deployment", "PolicyRun", "compare", "summarize"]
+__all__ = ["PolicyRun", "RunningSystem", "compare", "summarize"]
 
 POLICY_FILE = "99-compare.json"
 SETTLE_S = 1.0
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Deployment:
+class RunningSystem:
     """Addresses and clients of a running system.
 
     Parameters
@@ -73,7 +73,7 @@
 
 async def compare(
     mix: Mix,
-    deployment: Deployment,
+    deployment: RunningSystem,
     policies: list[str],
     seeds: list[int],
     rate: float,
@@ -86,7 +86,7 @@
     ----------
     mix : Mix
         Arrivals and faults.
-    deployment : Deployment
+    deployment : RunningSystem
         System to run against.
     policies : list of str
         Policies to put into force in turn.
@@ -111,7 +111,7 @@
 
 
 class _Replayer:
-    def __init__(self, mix: Mix, deployment: Deployment, session, only) -> None:
+    def __init__(self, mix: Mix, deployment: RunningSystem, session, only) -> None:
         self._mix = mix
         self._deployment = deployment
         self._session = session
--- a/hibiscusstep/load/pool_emulator.py
+++ b/hibiscusstep/load/pool_emulator.py
@@ -25,7 +25,7 @@
 from hibiscusstep.routing.switches import ALL_ON, Switches
 from hibiscusstep.standins.batching import Batch, EngineSpeed, Job
 
-__all__ = ["Outcomes", "PoolEmulator"]
+__all__ = ["EmulationResult", "PoolEmulator"]
 
 POOL = "pool"
 TICK_S = 0.05
@@ -80,7 +80,7 @@
 
 
 @dataclass(slots=True)
-class Outcomes:
+class EmulationResult:
     """Results of a run as its callers saw them.
 
     Parameters
@@ -157,7 +157,7 @@
             zip(self._names, map(self._batch, deployment.slowness), strict=True)
         )
         self._active_targets: set[str] = set()
-        self._outcomes = Outcomes()
+        self._result = EmulationResult()
         self._instances = [f"i{n}" for n in range(deployment.instances)]
         # Dispatchers of instances that dispatch locally, by instance.
         self._local_dispatchers: dict[str, SlotDispatcher] = {}
@@ -165,7 +165,7 @@
         self._saved_estimates: m.Learnt | None = None
         self._dispatcher = self._new_dispatcher()
 
-    def run(self) -> Outcomes:
+    def run(self) -> EmulationResult:
         """Run the emulation to its end."""
         for kind in self._deployment.kinds:
             self._next_arrival(kind)
@@ -179,7 +179,7 @@
         while self._events:
             self._now, _number, action, arguments = heapq.heappop(self._events)
             action(*arguments)
-        return self._outcomes
+        return self._result
 
     def _schedule(self, moment: float, action, *arguments) -> None:
         heapq.heappush(self._events, (moment, next(self._sequence), action, arguments))
@@ -259,8 +259,8 @@
         number = next(self._numbers)
         instance = self._instances[number % len(self._instances)]
         request = _Request(number, kind, prompt, output, hint, self._now, instance)
-        self._outcomes.owed[self._window_start(request)] += 1.0
-        self._outcomes.asked[kind.rank] += 1
+        self._result.owed[self._window_start(request)] += 1.0
+        self._result.asked[kind.rank] += 1
         self._schedule(
             self._now + kind.deadline, self._end_request, request, "deadline", 0.0
         )
@@ -364,9 +364,9 @@
         if request.ended:
             return
         request.ended = True
-        self._outcomes.counts[how] += 1
-        self._outcomes.earned[self._window_start(request)] += value
-        self._outcomes.served[request.kind.rank] += value > 0
+        self._result.counts[how] += 1
+        self._result.earned[self._window_start(request)] += value
+        self._result.served[request.kind.rank] += value > 0
         self._release(request, m.Outcome.DONE if value else m.Outcome.CANCELLED)
 
     def _release(self, request: _Request, outcome: m.Outcome) -> None:
@@ -411,7 +411,7 @@
                 request.job = None
             if not request.ended:
                 request.ended = True
-                self._outcomes.counts["lost"] += 1
+                self._result.counts["lost"] += 1
         self._dispatcher = self._new_dispatcher()
         self._local_dispatch_until = self._now + self._deployment.alone
         self._schedule(self._local_dispatch_until, self._resume_common_dispatcher)
@@ -440,7 +440,7 @@
             if request.instance in gone:
                 del self._by_ask[request.ask]
                 request.ended = True
-                self._outcomes.counts["lost"] += 1
+                self._result.counts["lost"] += 1
 
     def _saved_estimates_of(self, dispatcher: SlotDispatcher) -> m.Learnt | None:
         learnt = dispatcher.learnt
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -95,7 +95,7 @@
     return {"all.json": json.dumps(data)}
 
 
-class Reply:
+class CallResult:
     """Answer that a caller received; status 0 if the connection broke."""
 
     def __init__(self, status=0, body=b"", headers=None):
@@ -321,8 +321,10 @@
             async with self.session.post(
                 self.urls[name] + path, data=body, headers=headers, **more
             ) as response:
-                return Reply(response.status, await response.read(), response.headers)
-        return Reply()
+                return CallResult(
+                    response.status, await response.read(), response.headers
+                )
+        return CallResult()
 
     async def chat(self, name, prompt="why?", tokens=4, stream=True, **more):
         """Send one chat completion through an instance."""
