--- a/hibiscusstep/cmdline/client.py
+++ b/hibiscusstep/cmdline/client.py
@@ -264,7 +264,7 @@
     if log is not None:
         story = build_timeline(request, parse_lines(log))
         if not story:
-            raise HibiscusstepError("no log line of this request", step="explain")
+            raise HibiscusstepError("no line of this request", step="explain")
         fields = [line.fields for line in story]
         _print_result(fields, as_json, (line.text() for line in story))
         return
