--- a/hibiscusstep/routing/dispatch_plan.py
+++ b/hibiscusstep/routing/dispatch_plan.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedTarget:
-    """A target that may be granted requests, and its number of slots."""
+    """A target that may be granted requests, and how many it serves at a time."""
 
     slots: int
     leaving: bool = False
@@ -32,7 +32,7 @@
     targets : dict of str to PlannedTarget
         Its targets by name.
     serving : frozenset of str
-        Versions of its targets that are in force; empty if all are.
+        Current versions, whose targets receive requests; empty if all targets do.
     rollout : PlannedRollout or None
         A rollout that moves its traffic to another version.
     """
--- a/hibiscusstep/routing/engine_model.py
+++ b/hibiscusstep/routing/engine_model.py
@@ -7,13 +7,13 @@
 
 # Initial estimates, from one engine in use: seconds to a first token, prompt tokens per
 # second of prefill, and seconds per output token with half of the slots taken. The
-# first two are learned for each pool; the speed relative to the third is learned for
-# each target.
+# first two are learned for each pool. The slowness of each target is learned too: how
+# many times as long as the third a token takes there.
 FIRST_TOKEN_S = 0.014
 PREFILL_TOKENS_PER_S = 48_200.0
 ENGINE_STEP_S = 0.0031
 # Weight of the initial estimate, in answers, split between a short and a long prompt.
-# The first few answers prevail over it if the engine differs.
+# If the engine differs from that one, its first few answers prevail.
 PRIOR_ANSWERS = 1.0
 PRIOR_PROMPTS = (200.0, 6000.0)
 # Factor by which each new observation reduces the weight of older ones: half after
@@ -48,7 +48,7 @@
         self.reset(self.base_seconds, self.seconds_per_token)
 
     def reset(self, first: float, token: float) -> None:
-        """Restart from estimates of another dispatcher."""
+        """Restart from other initial estimates, in seconds, of another dispatcher."""
         self.base_seconds, self.seconds_per_token = first, token
         self._weight = self._x = self._xx = self._y = self._xy = 0.0
         for prompt in PRIOR_PROMPTS:
@@ -149,9 +149,9 @@
         return expected * self._ratio.above_median(LENGTH_DEVIATIONS)
 
 
-# The same for the service times of a plain service relative to the mean of the target:
-# nine of ten are shorter. The minimum is used for times below the resolution of the
-# clock.
+# Initial spread of a plain service's times relative to the mean of the target, and the
+# number of standard deviations for the upper bound: nine of ten are shorter. The
+# minimum ratio is used for times below the resolution of the clock.
 INITIAL_SERVICE_SPREAD = 0.4
 SERVICE_DEVIATIONS = 1.28
 MIN_SERVICE_RATIO = 1e-3
@@ -179,8 +179,8 @@
 # has been observed, a prompt of any length is assumed to be processed between two
 # events.
 UNKNOWN_CHUNK_S = 10.0
-# This much prefill takes many chunks, so that a stream is delayed by a full one. The
-# second value is the lower bound of the estimate.
+# A prefill of this many seconds takes many chunks, so that a stream is delayed by a
+# full one. The second value is the lower bound of the estimated seconds of a chunk.
 MULTI_CHUNK_S = 0.2
 MIN_CHUNK_S = 0.005
 # Weight of a new observation. It is larger for a pause above the estimate, since pauses
--- a/hibiscusstep/routing/forecast.py
+++ b/hibiscusstep/routing/forecast.py
@@ -10,9 +10,11 @@
 
 __all__ = ["MIN_RETRY_AFTER_S", "Forecast"]
 
+# Bounds of the retry delay, and the delay if no target is known to have failed.
 MIN_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 120.0
 UNREACHABLE_RETRY_S = 1.0
+# Validity of the computed seconds until a slot is free.
 FREE_SLOT_CACHE_S = 0.02
 
 
@@ -65,7 +67,11 @@
     def retry_after(
         self, work: Work, usable_targets: Sequence[TargetEstimate], now: float
     ) -> float:
-        """Return the seconds until running work and waiting work of the rank ends."""
+        """Return the seconds after which a refused caller should retry.
+
+        By then the running requests, and the waiting ones of its tier and of higher
+        tiers, are expected to have ended.
+        """
         slots = sum(target.max_running for target in usable_targets)
         if not slots:
             return max(MIN_RETRY_AFTER_S, self._seconds_to_probe(now))
@@ -83,7 +89,7 @@
         return round(min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, seconds)), 1)
 
     def _work_ahead_of(self, queued: QueuedRequest) -> float:
-        """Return the expected seconds of service of the requests ahead of it."""
+        """Return the seconds of service of the requests ahead of a waiting one."""
         total = 0.0
         for tier, queue in self._queues.items():
             if tier == queued.work.tier:
@@ -95,7 +101,7 @@
     def _seconds_to_free_slot(
         self, rank: int, usable_targets: Sequence[TargetEstimate], now: float
     ) -> float:
-        """Return the seconds until a slot is free for a request of the rank."""
+        """Return the seconds until a request of the rank can have a slot."""
         if any(target.free > 0 for target in usable_targets):
             return 0.0
         computed_at, seconds = self._free_slot_cache.get(rank, (-1.0, 0.0))
--- a/hibiscusstep/routing/grant_monitor.py
+++ b/hibiscusstep/routing/grant_monitor.py
@@ -10,8 +10,8 @@
 
 __all__ = ["CheckResult", "GrantMonitor", "LostRequests"]
 
-# Timeout of an instance's answer: it takes some milliseconds, and 0.2 s on a busy half
-# of a core.
+# Time in which an instance must answer an inquiry. A live one takes some milliseconds,
+# or 0.2 s on a busy half of a core.
 ANSWER_TIMEOUT_S = 0.5
 # Interval after which an instance that confirmed a request is asked about it again.
 # With the timeout of the answer, a request lost meanwhile holds its slot for at most
@@ -44,7 +44,7 @@
     instances : set of str
         Instances to ask for the requests that they hold.
     lost : list of str
-        Asks of requests that their instances did not confirm.
+        Ids (`Work.ask`) of the grants that their instances did not confirm.
     """
 
     instances: set[str] = field(default_factory=set)
@@ -75,11 +75,11 @@
         return sum(grant.overdue for grant in self._grants.values())
 
     def asks_of_instance(self, instance: str) -> set[str]:
-        """Return the asks of an instance's granted requests."""
+        """Return the ids (`Work.ask`) of an instance's grants."""
         return set(self._asks_by_instance.get(instance, ()))
 
     def register(self, ask: str, instance: str, expected_end: float) -> None:
-        """Add a granted request with its expected end."""
+        """Add a granted request; `expected_end` is a time on the dispatcher's clock."""
         self.forget(ask)
         self._grants[ask] = _MonitoredGrant(instance, expected_end)
         self._asks_by_instance[instance].add(ask)
--- a/hibiscusstep/routing/messages.py
+++ b/hibiscusstep/routing/messages.py
@@ -36,7 +36,10 @@
     """How a granted request ended at its target.
 
     `FAILED`: the target answered with an error. `REJECTED`: the target answered that
-    it did not run the request. `UNUSED`: the instance did not use the grant.
+    it did not run the request. `UNREACHABLE`: the request was not sent. `BROKEN`: it
+    was sent, but the answer broke off, was invalid or timed out. `CANCELLED`: its
+    caller disconnected or it was stopped. `UNUSED`: the instance did not use the
+    grant. `LEAVING`: the target accepts no more requests.
     """
 
     DONE = "done"
@@ -50,7 +53,14 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Why a request was refused or stopped."""
+    """Why a request was refused or stopped.
+
+    `LOAD`: the pool is overloaded. `DEADLINE`: it was not granted in time.
+    `HIGHER_TIER`: requests of higher tiers need the pool. `IMPOSSIBLE`: it would be
+    late on an idle target too. `CUSTOMER_LIMIT`: its customer has too many waiting
+    requests. `NO_TARGET`: no target accepts requests. `UNAVAILABLE`: its tier is not
+    known, or part of the system cannot be reached.
+    """
 
     LOAD = "load"
     DEADLINE = "deadline"
@@ -276,7 +286,8 @@
     wait : float
         Seconds that it waited.
     candidates : dict of str to float
-        Estimated seconds to the end of the answer, by candidate target.
+        Estimated seconds to the end of the answer, by candidate target; from a slot
+        dispatcher the weighted cost in seconds.
     """
 
     work: Work
--- a/hibiscusstep/routing/policy_dispatcher.py
+++ b/hibiscusstep/routing/policy_dispatcher.py
@@ -15,8 +15,13 @@
 
 __all__ = ["PolicyDispatcher"]
 
+# Minimum estimated seconds of service of a request.
 MIN_COST_S = 0.001
+# A request is refused on arrival if its expected wait exceeds this multiple of the time
+# to its latest start.
 EARLY_REFUSAL_FACTOR = 1.0
+# Time before its latest start from which a request is urgent: it goes first among its
+# customer's requests, and requests of lower tiers may be stopped for it.
 URGENT_S = 0.3
 _DEFAULT_CUSTOMER = Customer(key_hashes=["0" * 64], tier="any")
 
@@ -24,6 +29,8 @@
 class PolicyDispatcher(PoolDispatcher):
     """A dispatcher with tiers, fair sharing and a configurable placement policy.
 
+    The policies use the learned speeds of the targets (`TargetEstimate`).
+
     Parameters
     ----------
     pool_name : str
@@ -82,7 +89,7 @@
         self._shed(now)
 
     def next_latest_start(self) -> float:
-        """Return the earliest latest start of all waiting requests."""
+        """Return the first `latest_start` of the waiting requests; infinity if none."""
         return min(
             (q.next_latest_start() for q in self._queues.values()), default=float("inf")
         )
@@ -385,7 +392,11 @@
     def _refuse_after_lower_tiers(
         self, queued: QueuedRequest, now: float, reason: m.RefusalReason
     ) -> bool:
-        """Refuse a request unless lower tiers must yield first; return if refused."""
+        """Refuse a request once no lower tier can yield; return whether it was refused.
+
+        Waiting requests of lower tiers are refused and running ones stopped first. A
+        request of a tier that may not be shed is not refused.
+        """
         if not self._configuration.shedding_rule(queued.work.tier).may_be_shed:
             return False
         if not self._usable_targets(now) or self._partition_suspected:
--- a/hibiscusstep/routing/pool_dispatcher.py
+++ b/hibiscusstep/routing/pool_dispatcher.py
@@ -30,8 +30,8 @@
     """A state machine that assigns the requests of one pool to its targets.
 
     It does no I/O: `handle` takes a message and a time and returns decisions. Before
-    `Recovered` it neither grants requests nor refuses them for load, so that a new
-    dispatcher first receives the requests that already run.
+    `Recovered` it neither grants requests nor refuses them for load, since a new
+    dispatcher does not know yet which requests already run.
 
     Parameters
     ----------
--- a/hibiscusstep/routing/queue.py
+++ b/hibiscusstep/routing/queue.py
@@ -10,6 +10,8 @@
 
 __all__ = ["QueuedRequest", "TierQueue"]
 
+# Maximum numbers of candidates that are tried at a time: long requests of a customer;
+# customers, for short and again for long requests; requests in first-come order.
 MAX_LONG_PER_CUSTOMER = 8
 MAX_CUSTOMERS = 3
 MAX_FIRST_COME = 8
@@ -181,12 +183,12 @@
         ]
 
     def next_latest_start(self) -> float:
-        """Return the earliest latest start, infinity if nothing waits."""
+        """Return the first `latest_start` of the requests; infinity if none waits."""
         queued = self._earliest_due()
         return queued.latest_start if queued else float("inf")
 
     def work_ahead(self, queued: QueuedRequest, weights: dict[str, float]) -> float:
-        """Return the expected seconds of service that precede a new request.
+        """Return the expected seconds of service ahead of a new request.
 
         Each other customer gets its fair share, but no more than its backlog.
         """
--- a/hibiscusstep/routing/shedding.py
+++ b/hibiscusstep/routing/shedding.py
@@ -45,7 +45,7 @@
     def victims(
         self, rank: int, now: float
     ) -> list[tuple[TargetEstimate, RunningRequest]]:
-        """Return the running requests that may be stopped for a rank.
+        """Return the running requests that may be stopped for one of a rank.
 
         The lowest tier comes first, and within it the request with the least work done.
         """
@@ -58,7 +58,7 @@
         return sorted(candidates, key=lambda pair: self._stop_order(pair[1], now))
 
     def stopping(self, rank: int) -> int:
-        """Return the number of lower requests that are stopping but still run."""
+        """Return how many requests below a rank are being stopped but still run."""
         return sum(
             run.stopping and run.work.rank > rank
             for target in self._targets.values()
--- a/hibiscusstep/routing/slot_dispatcher.py
+++ b/hibiscusstep/routing/slot_dispatcher.py
@@ -32,7 +32,8 @@
 MAX_EXAMINED = 8
 # The same limit if some of the requests may run only on certain targets.
 MAX_EXAMINED_RESTRICTED = 64
-# Maximum time in which a grant reaches its instance.
+# Maximum time in which a grant reaches its instance. A younger grant may be missing
+# from the instance's report of the grants that it holds.
 MAX_GRANT_TRANSIT_S = 0.7
 # The overall service rate changes slowly compared with this interval.
 RATE_UPDATE_INTERVAL_S = 0.05
@@ -70,8 +71,8 @@
     plan : DispatchPlan
         The targets of the pool.
     standalone_instance : str
-        Name of the instance if the dispatcher serves only this one; empty if it serves
-        all instances.
+        Name of the instance if this is its standby dispatcher, used while the pool's
+        dispatcher is unreachable; empty for the pool's dispatcher.
     switches : Switches
         The enabled mechanisms.
     """
@@ -143,7 +144,7 @@
 
     @property
     def is_standalone(self) -> bool:
-        """Whether the dispatcher serves a single instance."""
+        """Whether this is the standby dispatcher of a single instance."""
         return self._standalone_name != ""
 
     @property
--- a/hibiscusstep/routing/target_estimate.py
+++ b/hibiscusstep/routing/target_estimate.py
@@ -7,15 +7,23 @@
 
 __all__ = ["RunningRequest", "TargetEstimate"]
 
+# Weight of a new observation of a rate.
 LEARNING_RATE = 0.3
+# A longer prefill counts as long. A target with more pending prefill than the sum of
+# both is blocked for short requests.
 LONG_PREFILL_S = 0.25
 PREFILL_MARGIN_S = 0.1
+# Minimum of the learned rates in tokens per second, and the maximum factor by which an
+# observation may differ from the estimate.
 MIN_RATE = 1e-3
 MAX_RATIO = 4.0
+# Shorter prefills are not learned from; from the second value on they have full weight.
 MIN_LEARNABLE_PREFILL_S = 0.05
 FULL_WEIGHT_PREFILL_S = 1.0
+# Backoff after a failure; it doubles with each failure in a row.
 FIRST_BACKOFF_S = 1.0
 MAX_BACKOFF_S = 30.0
+# Sizes in tokens of the prompt prefixes whose hashes are in `Work.prefixes`.
 PREFIX_SIZES = (
     256,
     512,
@@ -31,7 +39,10 @@
     32768,
     65536,
 )
+# Assumed size of a target's prefix cache in tokens.
 CACHE_TOKENS = 60_000
+# If a target computed more than this multiple of the expected prompt tokens, plus the
+# smallest prefix, the request's prefixes are no longer considered cached there.
 CACHE_MISS_FACTOR = 1.5
 
 
--- a/hibiscusstep/routing/target_selector.py
+++ b/hibiscusstep/routing/target_selector.py
@@ -30,7 +30,7 @@
 LONG_PAUSE_COST_S = 0.5
 MAX_PAUSE_SHARE = 0.85
 # Traffic between data centres is paid for: among targets of equal cost the local one is
-# taken. The cost equals six engine steps, so a less busy remote target is still
+# taken. The cost equals about six engine steps, so a less busy remote target is still
 # preferred.
 REMOTE_COST_S = 0.02
 # A stream that can still be in time waits until the remaining time is this multiple of
@@ -57,7 +57,8 @@
     min_slowness : float
         Slowness of the fastest usable target.
     mean_slowness : float
-        Mean slowness of the usable targets, weighted by their service rates.
+        Expected slowness of the target whose slot is free next: the mean of the usable
+        targets, weighted by their service rates.
     """
 
     def __init__(self, switches: Switches) -> None:
@@ -80,8 +81,8 @@
 
     def estimates(self, slowness: dict[str, float]) -> m.LearnedEstimates:
         """Return the estimates for the pool, with the slowness of its targets."""
-        share = self._prefill_chunk.max_seconds
-        known = share if share != UNKNOWN_CHUNK_S else 0.0
+        chunk_s = self._prefill_chunk.max_seconds
+        known = chunk_s if chunk_s != UNKNOWN_CHUNK_S else 0.0
         return m.LearnedEstimates(
             slowness, self._model.base_seconds, self._model.seconds_per_token, known
         )
@@ -161,7 +162,7 @@
         return (now - run.granted) / max(ENGINE_STEP_S, expected)
 
     def running_time_ratio(self, run: Run, now: float) -> float:
-        """Return the same ratio for a running request.
+        """Return the ratio of a running request's time so far to the estimate.
 
         The length of the answer is not known yet and may exceed the caller's hint, so
         the estimate uses a length that four of five answers do not exceed.
@@ -203,18 +204,30 @@
         }
 
     def choose(self, work: m.Work, free, usable, now: float) -> SlotTarget | None:
-        """Return the best available target; None if another is worth waiting for."""
+        """Return the best available target; None if another is worth waiting for.
+
+        Parameters
+        ----------
+        work : Work
+            The request.
+        free : list of SlotTarget
+            Targets with a free slot.
+        usable : list of SlotTarget
+            Targets to wait for if they serve in time, with or without a free slot.
+        now : float
+            Seconds on the dispatcher's clock.
+        """
         own = self.service_seconds(work)
-        others = [target for target in free if target.name not in work.avoid] or free
+        preferred = [target for target in free if target.name not in work.avoid] or free
         if not self._is_engine:
-            return min(others, key=lambda t: t.cost(own))
-        best = min(others, key=lambda t: self._weighted_cost(t, work, own, now))
+            return min(preferred, key=lambda t: t.cost(own))
+        best = min(preferred, key=lambda t: self._weighted_cost(t, work, own, now))
         overdue = not work.first_token_due and now >= work.deadline
         if overdue or self._serves_in_time([best], work, now):
             return best
         if self._serves_in_time(usable, work, now):
             return None
-        return self._choose_when_late(work, others, best, now)
+        return self._choose_when_late(work, preferred, best, now)
 
     def _choose_when_late(
         self, work: m.Work, free, best: SlotTarget, now: float
@@ -282,13 +295,13 @@
     def _weighted_cost(
         self, target: SlotTarget, work: m.Work, own: float, now: float
     ) -> float:
-        """Return the cost of a request at a target, with its effect on others."""
+        """Return the cost of a request at a target in seconds, with others' delays."""
         prefill_seconds = target.remaining_prefill(now) + self._model.prefill_seconds(
             work.prompt_tokens
         )
-        price = target.cost(own)
+        total = target.cost(own)
         if target.data_centre != work.data_centre:
-            price += REMOTE_COST_S
+            total += REMOTE_COST_S
         if work.first_token_due:
             late = (
                 now
@@ -296,7 +309,7 @@
                 - work.first_token_due
             )
             if late > 0:
-                price += LATENESS_WEIGHT * late
+                total += LATENESS_WEIGHT * late
         if target.running and self._delays_streams(target, prefill_seconds):
-            price += LONG_PAUSE_COST_S * len(target.running)
-        return price
+            total += LONG_PAUSE_COST_S * len(target.running)
+        return total
--- a/hibiscusstep/routing/version_partition.py
+++ b/hibiscusstep/routing/version_partition.py
@@ -14,9 +14,9 @@
 
 
 class _Role(enum.Enum):
-    SERVING = "its version is in force"
+    SERVING = "its version is a current one"
     CANARY = "its version is being rolled out"
-    BARRED = "its version is neither in force nor being rolled out"
+    BARRED = "its version is neither current nor being rolled out"
 
 
 # Outcomes that count in the comparison of versions; others do not depend on the
@@ -37,13 +37,14 @@
     selector : TargetSelector
         Selects targets for requests.
     is_standalone : bool
-        Whether the dispatcher serves a single instance. It then sends no requests to a
-        version that is not in force, since they would not be counted.
+        Whether this is for the standby dispatcher of a single instance. It sends no
+        requests to a version that is not current, since the exposure budget of the
+        rollout would not count them.
 
     Attributes
     ----------
     serving : TargetIndex
-        Targets of the versions in force.
+        Targets of the current versions.
     rollout : Rollout or None
         The rollout in progress.
     """
@@ -71,7 +72,7 @@
         return slots if self.rollout is None else slots + self._canaries.slots(now)
 
     def configure(self, pool: PlannedPool) -> None:
-        """Apply the versions in force and the rollout, before targets are assigned."""
+        """Apply the current versions and the rollout, before targets are assigned."""
         self._serving_versions = pool.serving
         planned = None if self._is_standalone else pool.rollout
         if planned is None:
@@ -124,7 +125,10 @@
         return self._canaries.has_free_slot(now)
 
     def choose_canary(self, work: m.Work, now: float) -> SlotTarget | None:
-        """Return a target of the new version for a request; None for the others."""
+        """Return a target of the new version for a request.
+
+        None if the new version may not receive it or has no suitable target free.
+        """
         if self.rollout is None or work.suspect:
             return None
         if not self.rollout.may_expose() or not self._canaries.has_free_slot(now):
@@ -142,7 +146,7 @@
         return self._selector.choose(work, free, worth_waiting, now)
 
     def _next_canary(self, now: float) -> list[SlotTarget]:
-        """Return the next target of the new version with a free slot, in turn."""
+        """Return at most one target: the preferred canary target with a free slot."""
         free = {
             t.name: t for t in self._canaries.usable(now) if t.available_slots(now) > 0
         }
--- a/hibiscusstep/routing/wait_limits.py
+++ b/hibiscusstep/routing/wait_limits.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.wait_limits: limits of waiting and retry intervals."""
+"""hibiscusstep.routing.wait_limits: limits of waiting times, and retry delays."""
 
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.switches import Switches
