--- a/hibiscusstep/policies/baselines.py
+++ b/hibiscusstep/policies/baselines.py
@@ -84,7 +84,7 @@
 
 
 class StrictPriorityPolicy(FirstComePolicy):
-    """Higher tiers first, and first come, first served within a tier."""
+    """Higher tiers first; first come, first served within a tier; no estimates."""
 
     name = "strict-priority"
     aliases = ()
--- a/hibiscusstep/policies/expected_work.py
+++ b/hibiscusstep/policies/expected_work.py
@@ -8,6 +8,8 @@
 
 __all__ = ["ExpectedWorkPolicy", "PrefixAffinityPolicy"]
 
+# Maximum share of the targets that run a long prefill, the number of slots that such a
+# target keeps free for short prompts, and the maximum share for urgent long prompts.
 LONG_SHARE = 0.5
 RESERVED_SHORT_SLOTS = 1
 URGENT_LONG_SHARE = 0.7
@@ -44,7 +46,7 @@
         return work.prompt_tokens / rate > LONG_PREFILL_S
 
     def choose(self, work, targets, usable_targets, urgent):
-        """Return the allowed target with the lowest cost, or None."""
+        """Return the allowed target with the lowest cost; None if the request waits."""
         allowed = self._allowed(work, targets, usable_targets, urgent)
         if not allowed:
             return None
@@ -71,7 +73,7 @@
         return unblocked
 
     def _sooner_than_unblocked(self, work, targets, usable_targets):
-        """Return the targets that start it before an unblocked one has a free slot."""
+        """Return the targets that start a request before an unblocked one is free."""
         waits = [
             run.predicted_first_token_s + run.work.output_tokens / target.decode_rate
             for target in usable_targets
@@ -89,7 +91,7 @@
         )
 
     def _better_cached_elsewhere(self, work, allowed, usable_targets):
-        """Whether another target has so much more of it cached that it should wait."""
+        """Whether to wait for a target that has much more of the prompt cached."""
         best_allowed = max(target.cached_tokens(work) for target in allowed)
         best_anywhere = max(target.cached_tokens(work) for target in usable_targets)
         rate = median(target.prefill_rate for target in usable_targets)
--- a/hibiscusstep/policy.py
+++ b/hibiscusstep/policy.py
@@ -33,7 +33,7 @@
     refuses_early = False
 
     def is_long(self, work: Work, targets: Sequence[TargetEstimate]) -> bool:
-        """Whether the request delays others on its target; if so it queues apart."""
+        """Whether a request delays others on its target and so queues separately."""
         return False
 
     @abstractmethod
