--- a/hibiscusstep/rollout/comparison.py
+++ b/hibiscusstep/rollout/comparison.py
@@ -32,12 +32,13 @@
 # Targets that have just started are slower for a while; all targets have to stay slow
 # for longer than this.
 WARM_UP_S = 6.0
-# A target is faulty by itself if its rate of bad answers is this many times that of the
-# others. With too few answers of the others its version is not blamed.
+# A target is faulty by itself, whatever its version, if its rate of bad answers is this
+# many times that of the others. It is also considered faulty if the others have too few
+# answers, since these show nothing against the version.
 FAULTY_RATE_RATIO = 2.0
 MIN_ANSWERS_OF_OTHERS = 5
-# A suspicion against a version is put down to a faulty target only with this many
-# answers of the others.
+# A suspicion against a version is attributed to a faulty target only if there are this
+# many answers of the others.
 MIN_ANSWERS_AGAINST_SUSPICION = 20
 # Numbers of targets from which on one, two, three of them may be faulty by themselves.
 TARGETS_PER_TOLERATED_FAULT = (2, 6, 16)
--- a/hibiscusstep/rollout/controller.py
+++ b/hibiscusstep/rollout/controller.py
@@ -26,7 +26,8 @@
 # Canary requests at the start, and additional ones per second. More would not reveal a
 # bad version sooner but only affect more callers.
 INITIAL_CANARY_REQUESTS, CANARY_REQUESTS_PER_S = 24, 20.0
-# Maximum seconds of full traffic before the deadline, for the same reason.
+# Maximum seconds of full traffic before the deadline. Longer full traffic would not
+# reveal a bad version sooner but only affect more callers.
 MAX_FULL_TRAFFIC_S = 2.0
 # Seconds over which the request rate is averaged.
 RATE_WINDOW_S = 2.0
@@ -34,7 +35,7 @@
 # current one to compare with, except in these last seconds: a quiet pool may never have
 # enough.
 FINAL_CANARY_S = 4.0
-# Maximum number of canary targets, of which another one comes first every few seconds.
+# Maximum number of canary targets; every CANARY_ROTATION_S another one comes first.
 # Each further one is used after this many requests to the version, since the answers of
 # a target are compared with its own earlier ones.
 MAX_CANARY_TARGETS = 3
@@ -232,14 +233,14 @@
     def canary_targets(self, names: Iterable[str], now: float) -> list[str]:
         """Return the canary targets in order of preference.
 
-        Only a few are used, in rotation, so that each has enough answers. Faulty
-        targets are replaced.
+        The first one is filled before the next one is used. Only a few are used, in
+        rotation, so that each has enough answers. Faulty targets are replaced.
         """
-        sound = sorted(
+        faultless = sorted(
             name for name in names if name not in self.comparison.faulty_targets
         )
         count = 1 + self._budget.exposed // REQUESTS_PER_CANARY_TARGET
-        canaries = sound[: min(count, MAX_CANARY_TARGETS)]
+        canaries = faultless[: min(count, MAX_CANARY_TARGETS)]
         shift = int(now / CANARY_ROTATION_S) % len(canaries) if canaries else 0
         return canaries[shift:] + canaries[:shift]
 
--- a/hibiscusstep/rollout/evidence.py
+++ b/hibiscusstep/rollout/evidence.py
@@ -54,8 +54,8 @@
 
 
 FAILS = Symptom("fails", 10.0, (0.8, 0.5))
-# The distribution of times is only roughly known, so more evidence is needed; fewer
-# answers show it.
+# The distribution of times is only roughly known, so more evidence is needed. Slowness
+# shows in fewer answers than failures do.
 SLOW = Symptom("slow", 13.0, (0.8, 0.25))
 
 
@@ -200,18 +200,18 @@
                     self._tests[test] = [self._make_test() for _ in EXCESS_SHARES]
                     self._recent[test] = deque(maxlen=RECENT_ANSWERS)
                 self._recent[test].append(ratios[-1])
-                for of_excess, ratio in zip(self._tests[test], ratios, strict=True):
-                    of_excess.add(ratio)
+                for excess_test, ratio in zip(self._tests[test], ratios, strict=True):
+                    excess_test.add(ratio)
 
     def _totals(self) -> dict[tuple[Symptom, str], list[float]]:
         """Return each test's evidence by excess share, including running requests."""
         totals = {
-            test: [of_excess.evidence for of_excess in excesses]
-            for test, excesses in self._tests.items()
+            test: [excess_test.evidence for excess_test in excess_tests]
+            for test, excess_tests in self._tests.items()
         }
         for answer in self._running:
             for key in answer.keys:
-                of_key = totals.get((SLOW, key), [])
-                for number, _evidence in enumerate(of_key):
-                    of_key[number] += max(0.0, answer.slowness[number])
+                slow_totals = totals.get((SLOW, key), [])
+                for number, _evidence in enumerate(slow_totals):
+                    slow_totals[number] += max(0.0, answer.slowness[number])
         return totals
