--- a/tests/test_grant_monitor.py
+++ b/tests/test_grant_monitor.py
@@ -1,4 +1,7 @@
-"""Tests of hibiscusstep.routing.grant_monitor: detection of grants that never ended."""
+"""Tests of hibiscusstep.routing.grant_monitor: grants that never ended are found.
+
+Slots of dead instances become free; no slot is granted twice.
+"""
 
 import heapq
 import itertools
@@ -24,7 +27,7 @@
 
 
 def _run_checks(monitor, until, start=0.0):
-    """Check at each tick; return when each instance was asked and each ask lost."""
+    """Check at each tick; return when each instance was asked and each grant lost."""
     asked, lost = {}, {}
     now = start
     while now <= until:
@@ -69,7 +72,7 @@
         assert _run_checks(monitor, 4.0) == ({}, {})
 
     def test_waits_for_the_answer_after_a_pause_of_the_dispatcher(self):
-        """The answer is still in its mailbox, and a check may run before it is read."""
+        """The answer may be unread in its mailbox when the next check runs."""
         monitor = GrantMonitor()
         monitor.register("a", "i", 2.0)
         _run_checks(monitor, 2.1)
@@ -129,7 +132,11 @@
 
 @dataclass(frozen=True)
 class _Fault:
-    """A fault of an instance: `deaf` receives nothing, nothing of `mute` arrives."""
+    """A fault of an instance for `length` seconds.
+
+    A `deaf` instance receives nothing, and nothing that a `mute` one sends arrives. A
+    `paused` one does nothing; a `dead` one never returns.
+    """
 
     kind: str
     instance: int
@@ -174,7 +181,10 @@
             action(*arguments)
 
     def available_at(self, instance, *kinds):
-        """Return when some faults of an instance end; None if it is dead."""
+        """Return when an instance is first free of some kinds of faults.
+
+        None if it is dead by then.
+        """
         moment = self.now
         while True:
             active = [
--- a/tests/test_policy_dispatcher.py
+++ b/tests/test_policy_dispatcher.py
@@ -1,4 +1,7 @@
-"""The dispatcher: tier order, work conservation, fairness, no starvation."""
+"""Tests of hibiscusstep.routing.policy_dispatcher: tiers, fairness, no starvation.
+
+Also that no short request waits while a target is idle.
+"""
 
 import json
 
@@ -413,7 +416,7 @@
 
 
 class DispatcherModel:
-    """Sends messages to a dispatcher and records what waits and runs."""
+    """Sends messages to a dispatcher and records the waiting and running requests."""
 
     def __init__(self, dispatcher):
         self.dispatcher, self.now = dispatcher, 0.0
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.rollout: exposure budget, version comparison, order execution."""
+"""Tests of hibiscusstep.rollout: exposure budget, version comparison, rollout."""
 
 import random
 
@@ -153,7 +153,7 @@
         assert answers.comparison.evidence == before
 
     def test_a_version_bad_under_load_only_is_rejected(self):
-        """Guards against its few bad answers being outweighed by all the others."""
+        """Guards against outweighing its few bad answers by all the others."""
         comparison = VersionComparison()
         rng = random.Random(3)
         bad = 0
@@ -259,7 +259,7 @@
 
 class TestRollout:
     def _serve(self, rollout, seconds, rate=100, failing=0.0, start=0.0):
-        """Send requests; return when the order ended, or None."""
+        """Send `rate` requests per second; return when the order ended, or None."""
         rng = random.Random(1)
         for number in range(int(seconds * rate)):
             now = start + number / rate
@@ -384,7 +384,7 @@
 
 
 class TestDispatcher:
-    """Targets that a dispatcher grants, by version."""
+    """A dispatcher grants targets according to their version."""
 
     def _dispatcher(self, plan, standalone_instance=""):
         dispatcher = SlotDispatcher("p", plan, standalone_instance=standalone_instance)
@@ -405,7 +405,7 @@
         dispatcher = self._dispatcher(_plan())
         assert "t2" not in self._granted(dispatcher, 50)
 
-    def test_nor_does_it_while_all_other_targets_are_full(self):
+    def test_a_version_that_is_not_current_receives_nothing_in_overload(self):
         dispatcher = self._dispatcher(_plan())
         for number in range(20):
             dispatcher.handle(m.RequestGrant(_work(number, 0.0)), 0.0)
@@ -420,7 +420,7 @@
             dispatcher.handle(m.RequestGrant(_work(number, 0.0)), 0.0)
         assert dispatcher.waiting == {}
 
-    def test_an_instance_dispatching_alone_sends_no_canary_requests(self):
+    def test_a_standby_dispatcher_sends_no_canary_requests(self):
         plan = _plan(rollout=PlannedRollout("v2", 1, 100.0))
         dispatcher = self._dispatcher(plan, standalone_instance="i")
         assert "t2" not in self._granted(dispatcher, 50)
--- a/tests/test_slot_dispatcher.py
+++ b/tests/test_slot_dispatcher.py
@@ -303,7 +303,7 @@
 
 
 class TestLowestRank:
-    """Higher ranks need more than all slots for a long time."""
+    """Guards against starving the lowest rank while higher ranks need all slots."""
 
     def _overloaded(self, switches=ALL_ENABLED):
         """Return the ranks granted by two slots while the top rank fills both."""
@@ -339,7 +339,7 @@
         assert ranks.count(2) / len(ranks) < 0.05
 
     def test_overload_of_a_higher_rank_is_detected_behind_it(self):
-        """The last request may be in time while the last of a higher rank is not."""
+        """The last request may be in time although one of a higher rank is late."""
         dispatcher = _dispatcher((1,))
         dispatcher.handle(m.RequestGrant(_work("busy")), 0.0)
         refused = []
@@ -425,7 +425,7 @@
         assert _grants(second.handle(m.RequestGrant(_work("b")), 7.0)) == {"b": "t1"}
 
     def test_fast_prefill_allows_long_prompts_on_slow_targets(self):
-        """By the initial estimate they would be late there and wait without need."""
+        """With the initial estimate they seemed late there and waited without need."""
         dispatcher = _dispatcher((8, 8))
         dispatcher.handle(m.LearnedEstimates({"t0": 1.0, "t1": 4.0}), 0.0)
         for n in range(30):
@@ -444,7 +444,7 @@
         )
         assert _grants(dispatcher.handle(m.RequestGrant(long), 50.1)) == {"c": "t1"}
 
-    def test_is_not_started_where_it_would_end_late(self):
+    def test_a_request_is_not_started_where_it_would_end_late(self):
         """An answer cut off by its caller's deadline is lost and may not run again."""
         dispatcher = _dispatcher((1, 1))
         dispatcher.handle(m.LearnedEstimates({"t0": 1.0, "t1": 5.0}), 0.0)
@@ -468,7 +468,7 @@
         assert _grants(dispatcher.handle(done, 0.3)) == {"b": "t0"}
 
     def test_a_huge_prompt_does_not_delay_streams_of_a_slow_target(self):
-        """A prompt that is in time nowhere was granted any free slot."""
+        """Guards against granting any free slot to a prompt that is late everywhere."""
         targets = {name: PlannedTarget(2) for name in ("fast", "slow")}
         plan = DispatchPlan({"p": PlannedPool(True, 6, 0.3, targets)})
         dispatcher = SlotDispatcher("p", plan)
--- a/tests/test_target_index.py
+++ b/tests/test_target_index.py
@@ -1,4 +1,4 @@
-"""Tests of hibiscusstep.routing.target_index: the index agrees with a full scan."""
+"""Tests of hibiscusstep.routing.target_index: agreement with a scan, and cost."""
 
 import pytest
 from hypothesis import given, settings
@@ -60,49 +60,49 @@
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.lists(st.tuples(_STEPS, st.integers(0, TARGETS - 1)), max_size=60))
     def test_agrees_with_a_scan_of_all_targets(self, steps):
-        order, now = TargetIndex(), 0.0
+        index, now = TargetIndex(), 0.0
         targets = {}
         for n in range(TARGETS):
             targets[n] = SlotTarget(f"t{n}", 2, data_centre=CENTRES[n % 2])
-            order.add(targets[n], now)
+            index.add(targets[n], now)
         for number, (step, which) in enumerate(steps):
             now += 0.07
             target = targets.get(which)
             if target is None:
                 continue
             if step == "gone":
-                order.remove(targets.pop(which))
+                index.remove(targets.pop(which))
             else:
                 _apply(target, step, number, now)
-                order.update(target, now)
-            self._check(order, targets.values(), now)
+                index.update(target, now)
+            self._check(index, targets.values(), now)
 
-    def _check(self, order, targets, now):
+    def _check(self, index, targets, now):
         staying = [t for t in targets if not t.leaving]
         healthy = [t for t in staying if t.usable(now)]
         is_panic = len(healthy) < PANIC_THRESHOLD * len(staying)
         usable = staying if is_panic else healthy
-        assert order.usable(now) == usable
-        assert order.slots(now) == sum(t.slots for t in usable)
+        assert index.usable(now) == usable
+        assert index.slots(now) == sum(t.slots for t in usable)
         free = [t for t in usable if t.available_slots(now) > 0]
-        assert order.has_free_slot(now) or not free
-        assert {t.name for t in order.candidates("a", now)} == {t.name for t in free}
-        fastest = {t.slowness for t in order.fastest(now)}
+        assert index.has_free_slot(now) or not free
+        assert {t.name for t in index.candidates("a", now)} == {t.name for t in free}
+        fastest = {t.slowness for t in index.fastest(now)}
         assert fastest == {t.slowness for t in usable}
 
     def test_limits_candidates_to_the_cheapest_of_each_data_centre(self):
-        order = TargetIndex()
+        index = TargetIndex()
         for n in range(200):
             slowness = 0.5 + (n * 37 % 200) / 100
             target = SlotTarget(f"t{n}", 4, slowness=slowness)
             target.data_centre = CENTRES[n % 2]
-            order.add(target, 0.0)
-        free = order.candidates("a", 0.0)
+            index.add(target, 0.0)
+        free = index.candidates("a", 0.0)
         near = [t for t in free if t.data_centre == "a"]
         assert len(near) == MAX_LOCAL_CANDIDATES
         assert len(free) == MAX_LOCAL_CANDIDATES + MAX_REMOTE_CANDIDATES
         assert near == sorted(near, key=lambda t: t.cost(TYPICAL_REQUEST_S))
-        assert len(order.fastest(0.0)) == MAX_FASTEST
+        assert len(index.fastest(0.0)) == MAX_FASTEST
 
 
 class TestDecisionCost:
@@ -133,9 +133,9 @@
         evaluated = []
         weighted_cost = TargetSelector._weighted_cost
 
-        def count(choice, target, *rest):
+        def count(selector, target, *rest):
             evaluated.append(target)
-            return weighted_cost(choice, target, *rest)
+            return weighted_cost(selector, target, *rest)
 
         monkeypatch.setattr(TargetSelector, "_weighted_cost", count)
         assert dispatcher.handle(self._ask("last"), 0.0)
