--- a/hibiscusstep/forwarding/bounds.py
+++ b/hibiscusstep/forwarding/bounds.py
@@ -21,8 +21,8 @@
         Retries allowed within a window (seconds): a share of the requests and a
         constant number on top.
     quota_window, quota_overage, quota_slack : float
-        A customer's tokens in a window (seconds) may exceed its quota by a share and a
-        constant number of tokens.
+        A customer's tokens in a window (seconds) may exceed its quota by a share (the
+        overage) and a constant number of tokens (the slack).
     exposure : ExposureLimits
         Limits on the requests sent to a version that is not yet proven.
     """
@@ -55,14 +55,14 @@
         Seconds between heartbeats, and seconds of silence until a peer is taken to be
         gone.
     capacity : int
-        As in `hibiscusstep.store.InstanceRecord`.
+        Capacity for work, in hundredths of a core or as limited by the link.
     max_mesh_size : int
-        Maximum number of instances in a full mesh; larger groups communicate over
-        relays.
+        Up to this number, all instances of a region are connected to each other. In a
+        larger region some are relays, and each other instance follows one of them.
     switches : Switches
         The enabled dispatcher mechanisms.
     log_style, log_level : str
-        As in `hibiscusstep.configuration.settings.Settings`.
+        Form of the log ("auto", "human" or "json") and the lowest level written.
     """
 
     name: str
--- a/hibiscusstep/forwarding/caller_frontend.py
+++ b/hibiscusstep/forwarding/caller_frontend.py
@@ -87,7 +87,7 @@
         self._table_received.set()
 
     def begin_drain(self, now: float, drain_deadline: float) -> None:
-        """Close connections after responses; later reject requests that may outlast it.
+        """Close connections after responses; then reject requests that may outlast it.
 
         Parameters
         ----------
--- a/hibiscusstep/forwarding/catalog.py
+++ b/hibiscusstep/forwarding/catalog.py
@@ -22,13 +22,14 @@
 
 _LOG = logging.getLogger(__name__)
 TICK_S = 0.25
-# Duration of one watch call. A lost connection is noticed when it ends.
+# Duration of one watch call. A pending watch costs no further call; a lost connection
+# is noticed when it times out.
 WATCH_S = 3.0
 RETRY_S = 0.3
-# Delay before the next watch call, so that one call returns several changes. Releasing
-# 36 targets in 10 s makes about a hundred changes, each of which cost a call of every
-# watching instance. The first instance to see a change sends it to its peers, so all
-# instances know it as early as before.
+# Delay before the next watch call, so that one call returns several changes. A release
+# of a new version on 36 targets in 10 s makes about a hundred changes, each of which
+# cost a call of every watching instance. The first instance to see a change sends it to
+# its peers, so all instances know it as early as before.
 BATCH_DELAY_S = 0.3
 # Entries that expired during an outage of the store are written again within 2 s of its
 # return. An entry that is missing for longer is removed.
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeavingAnnounced:
-    """A target announced in an answer that it accepts no new work.
+    """A target announced in a response that it accepts no new work.
 
     Parameters
     ----------
@@ -93,8 +94,8 @@
     """Current routing table and targets, from the store's feeds and from peers.
 
     The table's version only increases. A target's state is that of the highest revision
-    of its newest incarnation. A target that was seen leaving, or announced it in an
-    answer to any instance, stays leaving until it restarts: the store may be
+    of its newest incarnation. A target that was seen leaving, or announced it in a
+    response to any instance, stays leaving until it restarts: the store may be
     unavailable, and its entry is then older than the announcement. A target that
     disappears around an outage of the store, or around a restore from an older copy,
     is kept until `EXPIRY_GRACE_S` after it.
@@ -126,12 +127,14 @@
         self._on_targets = on_targets
         self._on_restart = on_restart
         self._table: RoutingTable | None = None
-        # By ID, as are the next two. `_last_seen` also holds removed targets.
+        # By ID. `_last_seen` also holds removed targets, as they were seen last;
+        # `_removed` holds the revisions of the removals.
         self._targets: dict[str, DiscoveredTarget] = {}
         self._last_seen: dict[str, DiscoveredTarget] = {}
         self._removed: dict[str, int] = {}
         # Names of incarnations that are leaving, by their entry or announcement.
         self._leaving_names: set[str] = set()
+        # By ID, when to remove a target whose entry may only have expired.
         self._pending_removals: dict[str, float] = {}
         self._removals_trusted_at = 0.0
         self._era = 0
@@ -259,7 +262,11 @@
                 self._on_table(table)
 
     def _apply_listing(self, listing: Listing, recovered: bool) -> None:
-        """Apply a complete list; remove targets that it lacks, unless just expired."""
+        """Apply a complete list.
+
+        Targets that it lacks are removed: at once, or after `EXPIRY_GRACE_S` if their
+        entries may only have expired.
+        """
         now = asyncio.get_running_loop().time()
         self._raise_revision(listing.revision)
         if recovered or (self._era and listing.era > self._era):
--- a/hibiscusstep/forwarding/connections.py
+++ b/hibiscusstep/forwarding/connections.py
@@ -187,7 +187,7 @@
 
 
 class ConnectionPool:
-    """Idle and used connections by target.
+    """Connections by target: idle ones, which are reused, and those in use.
 
     The idle time includes time in which the machine was suspended, since the target
     closes an idle connection meanwhile.
@@ -271,7 +271,7 @@
         """Close all connections to an incarnation of a target that has ended.
 
         Its open requests are lost. In a network partition there is no reset, and the
-        keepalive probes would detect the loss only up to four seconds later.
+        keepalive probes would detect the loss up to four seconds later.
         """
         self.close_idle(name)
         for connection in self._in_use.pop(name, ()):
--- a/hibiscusstep/forwarding/crash_detector.py
+++ b/hibiscusstep/forwarding/crash_detector.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InterruptedAttempt:
-    """An attempt whose connection ended before its answer was complete.
+    """An attempt whose connection ended before its response was complete.
 
     Parameters
     ----------
@@ -29,7 +29,7 @@
     started_at : float
         When the request was sent to the target, on the event loop's clock.
     before_first_event : bool
-        Whether the connection ended before the first event of the answer.
+        Whether the connection ended before the first event of the response.
     """
 
     attempt_id: str
@@ -77,7 +77,7 @@
     def record_interruption(
         self, target: DiscoveredTarget, attempt: InterruptedAttempt
     ) -> None:
-        """Record that a connection to a target ended before the answer was complete.
+        """Record that a connection to a target ended before a complete response.
 
         A target that is known to leave is ignored: it ends its remaining connections.
         """
--- a/hibiscusstep/forwarding/dialect.py
+++ b/hibiscusstep/forwarding/dialect.py
@@ -81,7 +81,7 @@
     request : str
         Id of the request to which it responds.
     sealed : bool
-        Whether it carries the target's seal.
+        Whether it carries the seal with which a target signs its responses.
     not_run : bool
         Whether the target declares that it did not run the request.
     misdirected : bool
--- a/hibiscusstep/forwarding/environment.py
+++ b/hibiscusstep/forwarding/environment.py
@@ -38,7 +38,7 @@
     roster : InstanceDirectory
         Registered instances.
     beliefs : EstimateStore
-        Persists the dispatchers' estimates of targets.
+        Persists the dispatchers' estimates of target speeds.
     use : UsageStore
         Persists the customers' usage of their quotas.
     suspects : SuspectStore
--- a/hibiscusstep/forwarding/exchange.py
+++ b/hibiscusstep/forwarding/exchange.py
@@ -230,13 +230,15 @@
         """Send the request and return the response to it, with its parsed head."""
         incoming, dialect = self._incoming, self._context.dialect
         customer = incoming.customer.name if incoming.customer else ""
-        order = TargetRequestHead(
+        target_head = TargetRequestHead(
             target.id,
             customer,
             incoming.deadline - self._now(),
             self._splitter.last_id,
         )
-        fields = dialect.target_request_fields(incoming.request.raw_headers, order)
+        fields = dialect.target_request_fields(
+            incoming.request.raw_headers, target_head
+        )
         if incoming.quota_request:
             incoming.quota_request.commit()
         connection.begin()
--- a/hibiscusstep/forwarding/grant_client.py
+++ b/hibiscusstep/forwarding/grant_client.py
@@ -21,8 +21,9 @@
 
 __all__ = ["GrantClient", "Refusal"]
 
-# Share of the route's objective within which the dispatcher has to grant or refuse a
-# request. Waiting for an unresponsive dispatcher takes somewhat longer.
+# A dispatcher that does not know how long a request can still be served in time refuses
+# it after this share of the route's objective. One that knows it keeps the request
+# waiting longer. A dispatcher that does not answer is waited for somewhat longer.
 GRANT_WAIT_SHARE = 0.25
 # Grants of targets unknown here that a request discards before it is refused. An
 # instance without a connection to the store receives new targets from its peers, later.
@@ -104,7 +105,7 @@
         while True:
             if self._quarantine_status.is_quarantined:
                 return self._quarantine_refusal()
-            if seconds := await self._wait_for_rested_target():
+            if seconds := await self._wait_for_available_target():
                 return Refusal(seconds, "all targets asked this instance to back off")
             reply = await self._request_grant()
             if isinstance(reply, Refused):
@@ -146,12 +147,16 @@
 
     @property
     def _grant_deadline(self) -> float:
-        """Time by which the dispatcher has to answer, on the loop's clock."""
+        """Time until which the request waits for a grant, on the loop's clock.
+
+        A dispatcher that knows how long the request can be served in time may answer
+        later.
+        """
         started = self._now() if self._is_retry else self._incoming.received
         max_wait = GRANT_WAIT_SHARE * self._incoming.route.objective
         return min(started + max_wait, self._incoming.deadline)
 
-    async def _wait_for_rested_target(self) -> float:
+    async def _wait_for_available_target(self) -> float:
         """Wait while all targets of the pool have asked this instance to back off.
 
         Returns
--- a/hibiscusstep/forwarding/incoming_request.py
+++ b/hibiscusstep/forwarding/incoming_request.py
@@ -59,7 +59,10 @@
 
     @property
     def due(self) -> float:
-        """Time by which a response is on time, on the loop's clock."""
+        """Time by which a response is on time, on the loop's clock.
+
+        It holds for a caller's first attempt: a caller that retries has waited before.
+        """
         return self.received + self.route.objective
 
     @property
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -82,7 +82,7 @@
 __all__ = ["ForwardingInstance"]
 
 _LOG = logging.getLogger(__name__)
-# A dispatcher that is silent for this long is taken to be paused or disconnected.
+# A pool's dispatcher that is silent this long is taken to be paused or disconnected.
 DISPATCHER_TIMEOUT_S = 0.12
 SWEEP_INTERVAL_S = 0.5
 REGISTER_RETRY_S = 1.0
@@ -98,8 +98,8 @@
 ELIGIBLE_AFTER_S = 1.0
 # A follower that has not become ready through its relay by then reads the store itself.
 RELAY_TIMEOUT_S = 3.0
-# All targets are sent to the followers again at this interval, so that a message lost
-# with a broken connection has an effect for at most five seconds.
+# After this many sweeps all targets are sent to the followers again, so that a message
+# lost with a broken connection has an effect for at most five seconds.
 SWEEPS_PER_TARGET_RESEND = 10
 # A stopping instance keeps listening for this long, or for half of its grace period if
 # that is shorter, so that callers and the balancer can notice.
@@ -324,13 +324,13 @@
             self._deliver_message,
             DISPATCHER_TIMEOUT_S,
         )
-        self._kept_use = SavedUsageWorker(
+        self._usage_worker = SavedUsageWorker(
             self._environment.use,
             bounds.quota_window,
-            lambda use: self._quotas.tell(use),
+            lambda usage: self._quotas.tell(usage),
         )
         self._quotas = QuotaLimiter(
-            incarnation, address, self._links, bounds, self._kept_use
+            incarnation, address, self._links, bounds, self._usage_worker
         )
         self._metrics = ForwardingMetrics()
         self._connections = ConnectionPool()
@@ -360,7 +360,7 @@
             self._dispatcher_host,
             self._dispatch_client,
             self._quotas,
-            self._kept_use,
+            self._usage_worker,
             self._quarantine,
             self._rollouts,
             *([self._estimate_keeper] if settings.switches.kept_beliefs else []),
--- a/hibiscusstep/forwarding/model.py
+++ b/hibiscusstep/forwarding/model.py
@@ -214,7 +214,7 @@
     revision : int
         The store's revision of this state.
     incarnation : int
-        Unix time of its start in milliseconds; 0 if not registered.
+        Unix time of its start in milliseconds; 0 if its entry does not say.
     version : str
         Software version.
     """
--- a/hibiscusstep/forwarding/planning.py
+++ b/hibiscusstep/forwarding/planning.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedVersions:
-    """The versions of a pool's targets that may serve, and a rollout in progress."""
+    """A pool's current versions (empty: all may serve) and its order in progress."""
 
     serving: frozenset[str] = frozenset()
     rollout: PlannedRollout | None = None
--- a/hibiscusstep/forwarding/pool_versions.py
+++ b/hibiscusstep/forwarding/pool_versions.py
@@ -260,7 +260,7 @@
         )
 
     def records(self, now: float, pools: Iterable[str] = ()) -> list[RolloutRecord]:
-        """Return the records for other instances, by default of all relevant pools.
+        """Return the records for other instances; by default of pools that need one.
 
         A pool with one version and no order needs none.
         """
@@ -370,7 +370,7 @@
                 entry.serving_since = entry.number
 
     def _derive_serving(self, now: float) -> None:
-        """Derive unknown current versions: all versions but that of the order."""
+        """Take the only version beside the ordered one as current if none is known."""
         for name, entry in self._pools.items():
             versions = self._discovered.get(name)
             if entry.serving or entry.order is None or not versions:
@@ -386,7 +386,7 @@
 
 @dataclass(slots=True)
 class _VersionTargets:
-    """The targets of a version: when the first one began, and their slots."""
+    """The targets of a version: start of the oldest (Unix ms) and sum of slots."""
 
     began: float = math.inf
     slots: int = 0
--- a/hibiscusstep/forwarding/quarantine.py
+++ b/hibiscusstep/forwarding/quarantine.py
@@ -121,7 +121,7 @@
     def record_interruption(
         self, target: DiscoveredTarget, attempt: InterruptedAttempt
     ) -> None:
-        """Record that a connection to a target ended before the answer was complete."""
+        """Record that a connection to a target ended before a complete response."""
         self._detector.record_interruption(target, attempt)
 
     def clear_request(self, fingerprint: int, why: str = "answered") -> bool:
--- a/hibiscusstep/forwarding/quarantine_status.py
+++ b/hibiscusstep/forwarding/quarantine_status.py
@@ -67,11 +67,11 @@
 
     @property
     def problem(self) -> dict[str, str]:
-        """Problem fields of the answer that refuses a quarantined request."""
+        """Problem fields of the response that refuses a quarantined request."""
         return {"title": _TITLE, "detail": _DETAIL, "fingerprint": self.fingerprint}
 
     def clear_request(self) -> None:
-        """Clear the request: a target completed its answer without crashing."""
+        """Clear the request: a target completed its response without crashing."""
         if not self._quarantine.is_empty:
             self._quarantine.clear_request(self._fingerprint)
 
--- a/hibiscusstep/forwarding/quota.py
+++ b/hibiscusstep/forwarding/quota.py
@@ -57,8 +57,9 @@
 class QuotaLimiter(Worker):
     """Tracks the token usage of all instances and enforces the quotas of customers.
 
-    Each instance sends its totals to its neighbours several times a second. A relay
-    sends the sum of its own usage and its followers' to the other relays, and the sum
+    Each instance sends its totals to its neighbours several times a second. In a large
+    region some instances are relays, and each other one follows a relay. A relay sends
+    the sum of its own usage and its followers' to the other relays, and the sum
     of all others' to each follower. Unreachable instances are assumed to use their even
     share, so that all sides of a network partition together stay within the quota.
 
@@ -171,12 +172,15 @@
         self._ledger.drop_stale(now)
         self._query_history(now)
         self._send_changes()
-        self._write_use(now)
+        self._write_usage(now)
         if self._ticks % LOG_USE_EVERY == 0:
-            self._log_use(now)
+            self._log_usage(now)
 
     def _process_view(self, view: View, now: float) -> None:
-        """Apply a membership view and send the usage history to new neighbours."""
+        """Apply a membership view; send new neighbours all known usage.
+
+        That includes the usage of ended instances.
+        """
         previous, self._view = self._view, view
         followers = view.followers.values()
         self._followers = {f.peer_address: f.incarnation for f in followers}
@@ -189,7 +193,7 @@
         self._neighbours = view.neighbours(self._address)
         for address in set(self._neighbours) - known:
             self._send_history(address, now)
-        self._request_stored_use(now)
+        self._request_stored_usage(now)
 
     def _query_history(self, now: float) -> None:
         """Query neighbours for usage before the start until it is known."""
@@ -200,7 +204,7 @@
             if history_unknown or address not in self._answered:
                 self._query(address)
 
-    def _request_stored_use(self, now: float) -> None:
+    def _request_stored_usage(self, now: float) -> None:
         """Request the saved usage unless there is a relay or the window is known."""
         if self._use_store is None or self._ledger.knows_window(now):
             return
@@ -218,7 +222,7 @@
             self._send_history(address, now)
 
     def _process_relay(self, incarnation: str) -> None:
-        """Detach the usage already sent if the relay has another incarnation."""
+        """Exclude usage sent to the previous relay if it restarted or was replaced."""
         if self._ledger.relay_changed(incarnation):
             self._ledger.detach_sent(self._sent_totals)
 
@@ -307,7 +311,7 @@
             **self._usage_fields(customer, now),
         )
 
-    def _log_use(self, now: float) -> None:
+    def _log_usage(self, now: float) -> None:
         """Log the usage of the active customers nearest to their limits."""
         shares = {
             name: self.used(name, now) / self._limit.current_limit(rule, now)
@@ -341,7 +345,7 @@
             self._ledger.add_own(name, tokens, asyncio.get_running_loop().time())
 
     def used(self, name: str, now: float) -> float:
-        """Return the tokens used in the window, with an estimate of unreported ones."""
+        """Return the tokens used in the window, with reserved and estimated ones."""
         ledger = self._ledger
         unreported = ledger.recent_others_usage(name, now) * self._max_delay_s
         counted = ledger.own_usage(name, now) + ledger.others_usage(name, now)
@@ -399,8 +403,8 @@
                 usage = Usage(self._incarnation, scope, names, totals)
                 self._links.tell(Send(address, usage))
 
-    def _write_use(self, now: float) -> None:
-        """Store the usage of customers near their limits, if this is its duty."""
+    def _write_usage(self, now: float) -> None:
+        """Store the usage of customers near their limits, if this instance has to."""
         if self._use_store is None or not self._ledger.knows_history(now):
             return
         if not self._view.has_duty("customers' use", self._address):
--- a/hibiscusstep/forwarding/quota_limit.py
+++ b/hibiscusstep/forwarding/quota_limit.py
@@ -13,9 +13,9 @@
 # The same if usage is exchanged over relays: at the onset of a burst three times as
 # much is used before all instances have received it.
 GRANTED_OVERAGE_RELAYED = 0.2
-# Share of the remaining overage that is granted while usage before the start is
-# unknown, because the customer may have used its whole limit. The rest covers
-# unreported usage.
+# Share of the otherwise ungranted overage that is granted while usage before the start
+# is unknown: the customer may have used its whole limit. The rest covers unreported
+# usage.
 UNKNOWN_HISTORY_SHARE = 0.5
 
 
--- a/hibiscusstep/forwarding/reachability.py
+++ b/hibiscusstep/forwarding/reachability.py
@@ -5,9 +5,10 @@
 
 __all__ = ["Reachability"]
 
-# How long the number of instances reported at the start counts. A peer's number counts
-# as long as the peer's own doubt about silent members; the store's counts for two quota
-# windows only, because its list also names instances that have ended.
+# How long the number of instances reported at the start counts, in seconds. A peer's
+# number counts for as long as any instance takes a silent one to be possibly alive; the
+# store's counts for two quota windows only, because its list also names instances that
+# have ended.
 PEER_COUNT_LIFETIME_S = UNREACHABLE_LIFETIME_S
 STORE_COUNT_LIFETIME_S = 16.0
 # Time in which a new instance discovers all live and reachable peers.
@@ -48,7 +49,10 @@
 
     @property
     def likely_size(self) -> int:
-        """Number of sharing instances; the store's count while alone at the start."""
+        """Number of instances that share a quota.
+
+        At a start, while no other instance is known, it is the number in the store.
+        """
         size = self._view.size
         return max(1, size if size > 1 else self._view.expected_size)
 
--- a/hibiscusstep/forwarding/rollouts.py
+++ b/hibiscusstep/forwarding/rollouts.py
@@ -39,7 +39,7 @@
 # If neither the store nor a peer has named the current version by then, it is guessed.
 GUESS_AFTER_S = 1.5
 # Seconds before the deadline at which the completion is written, plus a multiple of the
-# time that store calls take.
+# average time of a store call; at most `MAX_LEAD_S`.
 BASE_LEAD_S, LEAD_CALLS, MAX_LEAD_S = 0.2, 3.0, 2.0
 # Delay before a failed status write is retried.
 WRITE_RETRY_S = 0.5
@@ -306,7 +306,7 @@
         """Start or stop watching the store as the view requires."""
         view = self._view
         chosen = rendezvous_hash(view.eligible, _RENDEZVOUS_KEY, STORE_FOLLOWERS)
-        # Until the view is settled, instances read the store only if they have to.
+        # Until an instance knows its role, it reads the store only if it has to.
         follows = view.role_known and (
             self._own_name in chosen or any(map(self._dispatches, self.version_table))
         )
@@ -400,6 +400,7 @@
             self._publish([order.pool], now)
 
     def _handle_failed_write(self, pool: str, is_conflict: bool) -> None:
+        """Read the orders again after a conflict; else let a peer write the status."""
         self._write_retry_at = _now() + WRITE_RETRY_S
         if is_conflict:
             self._start_read()
--- a/hibiscusstep/forwarding/saved_usage.py
+++ b/hibiscusstep/forwarding/saved_usage.py
@@ -21,6 +21,7 @@
 ]
 
 _LOG = logging.getLogger(__name__)
+# Takes the place of an instance's incarnation in saved usage.
 _INCARNATION = "kept"
 # Interval in seconds between attempts after a failed read or write.
 RETRY_INTERVAL_S = 1.0
@@ -70,7 +71,8 @@
     UNLIST_AFTER_S = 4.0
 
     def __init__(self) -> None:
-        # Totals by customer at the last write; None if none is valid.
+        # Totals by customer at this instance's last write; None before it, while the
+        # previous writer's document stands, and after a loss of the document.
         self._written_totals: dict[str, int] | None = None
         self._written_at: float | None = None
 
--- a/hibiscusstep/forwarding/suspects.py
+++ b/hibiscusstep/forwarding/suspects.py
@@ -15,7 +15,7 @@
 # A request is quarantined from this weight on. One that ran beside two crashes by
 # chance has usually been answered elsewhere before it runs beside a third.
 QUARANTINE_WEIGHT = 3.0
-# Instances do not retry a request from this weight on.
+# From this weight on an instance does not retry a request itself; callers still may.
 RETRY_LIMIT_WEIGHT = 2.0
 # Delay of messages between instances: a run that started up to this long before another
 # one's end still counts as following it.
--- a/hibiscusstep/forwarding/target_estimates.py
+++ b/hibiscusstep/forwarding/target_estimates.py
@@ -24,13 +24,14 @@
 
     After a restart of all instances no peer knows which targets are slow. Long prompts
     would be sent to slow targets too and delay all streams there until enough answers
-    have been measured. If the store is unavailable, an instance starts without it.
+    have been measured. If the store is unavailable, an instance starts without
+    estimates.
 
     Parameters
     ----------
     store : EstimateStore
         Stores one document per pool.
-    found : callable of PoolLearnt
+    on_read : callable of PoolLearnt
         Receives each document that was read.
     """
 
--- a/hibiscusstep/forwarding/usage.py
+++ b/hibiscusstep/forwarding/usage.py
@@ -13,7 +13,7 @@
 # youngest age of each step, so an instance that has just started refuses a customer at
 # its limit for up to this much longer.
 AGE_STEP_S = 0.5
-# Usage received in this window estimates the rate of usage not yet received.
+# Usage received in the last second estimates the rate of usage not yet received.
 RECENT_RATE_WINDOW_S = 1.0
 # A relay counts as knowing as much history as its follower if it is short by at most
 # this: the time of the heartbeats and first messages between them.
@@ -27,7 +27,7 @@
     Parameters
     ----------
     scope : str
-        One of `UsageScope`.
+        Whose usage the source reports, one of `UsageScope`.
     received_at : float
         Time of the last message from the source, on the loop's clock.
     totals : dict of str to int
@@ -64,8 +64,8 @@
     Attributes
     ----------
     listed : frozenset of str or None
-        Customers in the stored document from before this instance, or all instances,
-        started; None while that is not known.
+        Customers in the document that was in the store before this instance, or all
+        instances, started; None while that is not known.
     """
 
     def __init__(self, incarnation: str, span: float, now: float) -> None:
@@ -74,6 +74,7 @@
         self._started_at = now
         self._known_since = now
         self._own_source = _SourceUsage(UsageScope.GROUP, now)
+        # By incarnation and scope.
         self._records: dict[tuple[str, str], _SourceUsage] = {}
         # Usage that this instance sent to a relay that it no longer follows. Others
         # received it from that relay; it counts here until they report it.
@@ -152,7 +153,7 @@
         return True
 
     def relay_changed(self, incarnation: str) -> bool:
-        """Return whether the usage of others came from another relay than this."""
+        """Return whether the usage of others came from a relay other than this one."""
         relays = {i for i, scope in self._records if scope == UsageScope.ALL}
         return bool(relays) and incarnation not in relays
 
@@ -214,7 +215,7 @@
             return False
         known_for = min(self._span, self.known_for(now))
         if self._records.keys() == {(first_usage.incarnation, first_usage.scope)}:
-            # The relay now knows more; its first history may come from the store.
+            # The relay knows more by now; its first history may be the stored one.
             return history.known_for > known_for + HISTORY_TOLERANCE_S
         return history.known_for >= known_for - HISTORY_TOLERANCE_S
 
@@ -265,8 +266,8 @@
     def drop_stale(self, now: float) -> None:
         """Remove the sources that sent nothing for two windows."""
         horizon = now - 2 * self._span
-        kept = self._records.items()
-        self._records = {s: r for s, r in kept if r.received_at > horizon}
+        records = self._records.items()
+        self._records = {s: r for s, r in records if r.received_at > horizon}
 
     def totals(self, scope: str, follower: str, names: Iterable[str]) -> list[int]:
         """Return the totals of customers to send.
--- a/hibiscusstep/forwarding/windowed_retry_budget.py
+++ b/hibiscusstep/forwarding/windowed_retry_budget.py
@@ -7,7 +7,8 @@
 
 __all__ = ["WindowedRetryBudget"]
 
-# Share of the budget that is used, because an observer's windows are not aligned.
+# Share of the budget that is used. Whoever checks the limit may count over windows that
+# are not aligned with these.
 USABLE_SHARE = 0.8
 # The same in the first window after an instance's start. Retries before it still count
 # but are not known: when all targets failed around a full restart, a window had 41
