--- a/hibiscusstep/platform/client.py
+++ b/hibiscusstep/platform/client.py
@@ -341,7 +341,7 @@
 
 
 class ObjectBeliefs(EstimateStore):
-    """Store with one object per pool, which the pool's dispatcher writes.
+    """Store of estimates, one object per pool, which the pool's dispatcher writes.
 
     Parameters
     ----------
@@ -355,12 +355,12 @@
         self._client = client
 
     async def write(self, pool: str, document: dict) -> Result[None, PlatformError]:
-        """Write the document of a pool."""
+        """Write the estimates of a pool's targets."""
         return await self._client.write(self._KIND, pool, document, ("PUT", "POST"))
 
     async def read_all(self) -> Result[dict[str, dict], PlatformError]:
-        """Return the documents of all pools."""
-        return (await self._client.read_decoded(self._KIND, _parse_belief)).map(dict)
+        """Return the estimates of all pools, by pool."""
+        return (await self._client.read_decoded(self._KIND, _parse_estimates)).map(dict)
 
 
 class _SingleObjectStore:
@@ -414,7 +414,7 @@
         Feed of the orders.
     """
 
-    _KEPT_KIND = "hibiscusstep-rollouts"
+    _PROGRESS_KIND = "hibiscusstep-rollouts"
 
     def __init__(self, client: ObjectClient, feed: ObjectFeed) -> None:
         self._client = client
@@ -449,14 +449,14 @@
     async def write_progress(
         self, pool: str, document: dict
     ) -> Result[None, PlatformError]:
-        """Write the document of a pool."""
+        """Write the progress of a pool's order."""
         return await self._client.write(
-            self._KEPT_KIND, pool, document, ("PUT", "POST")
+            self._PROGRESS_KIND, pool, document, ("PUT", "POST")
         )
 
     async def read_progress(self, pool: str) -> Result[dict | None, PlatformError]:
-        """Return the document of a pool."""
-        return await self._client.read_one(self._KEPT_KIND, pool)
+        """Return the progress of a pool's order."""
+        return await self._client.read_one(self._PROGRESS_KIND, pool)
 
 
 def _parse_record(item: dict) -> InstanceRecord:
@@ -469,7 +469,7 @@
     )
 
 
-def _parse_belief(item: dict) -> tuple[str, dict]:
+def _parse_estimates(item: dict) -> tuple[str, dict]:
     return f.read_text(item["Metadata"], "Name"), item["Spec"]
 
 
