--- a/tests/crash_region.py
+++ b/tests/crash_region.py
@@ -24,6 +24,7 @@
 # Delay after which a restarted instance receives the states.
 INITIAL_STATES_S = 0.3
 ATTEMPTS = 2
+# After this time all instances must know of a request's third crash.
 SETTLE_S = 3.0
 DURATION_S = 60.0
 
--- a/tests/quota_region.py
+++ b/tests/quota_region.py
@@ -1,4 +1,4 @@
-"""A simulated region of quota keepers, without a network."""
+"""A simulated region of quota limiters, without a network."""
 
 import asyncio
 import itertools
@@ -29,7 +29,7 @@
 CONNECT_S = 0.3
 # Seconds for which requests wait at an instance that does not know earlier usage yet.
 MAX_WAIT_S = 1.0
-# Seconds after its start for which an instance uses the listed instance count.
+# Seconds after its start for which an instance uses the number of listed instances.
 USE_LIST_S = 3.0
 
 
@@ -204,7 +204,10 @@
         return (one in self.isolated) == (other in self.isolated)
 
     def _listed(self, instance):
-        """Return the listed instance count, which is used only after a start."""
+        """Return the number of listed instances; 0 except soon after a start.
+
+        Instances that start together do not know each other at once.
+        """
         return self.count if self.now - instance.started < USE_LIST_S else 0
 
     def _is_connected(self, instance):
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -364,7 +364,7 @@
 
 
 class TestAnnouncedLeaving:
-    """One instance reads it in an answer and sends it on; the list may lack it."""
+    """One instance reads it in a response and sends it on; the list may lack it."""
 
     @given(st.data())
     def test_lasts_until_a_restart_in_any_order_of_messages(self, data):
@@ -459,10 +459,10 @@
         assert (await roster.instances()).unwrap() == [record]
 
     async def test_a_malformed_document_hides_no_other(self, watched):
-        beliefs = ObjectBeliefs(watched.client)
-        assert (await beliefs.write("p", {"first": 1.0})).is_ok()
+        estimates = ObjectBeliefs(watched.client)
+        assert (await estimates.write("p", {"first": 1.0})).is_ok()
         watched.store.objects["hibiscusstep-beliefs", "q"] = {"Metadata": {}}
-        assert (await beliefs.read_all()).unwrap() == {"p": {"first": 1.0}}
+        assert (await estimates.read_all()).unwrap() == {"p": {"first": 1.0}}
 
     async def test_instances_register_and_are_listed(self, watched):
         roster = ObjectRoster(watched.client)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -104,9 +104,9 @@
         return instance.ready and len(instance.targets) >= len(self.targets)
 
     def make_instance(self, path):
-        around = load_environment(path)
-        settings = dataclasses.replace(around.settings, seeds=self.seeds)
-        return ForwardingInstance(dataclasses.replace(around, settings=settings))
+        environment = load_environment(path)
+        settings = dataclasses.replace(environment.settings, seeds=self.seeds)
+        return ForwardingInstance(dataclasses.replace(environment, settings=settings))
 
     async def call(self, path, method="POST", instance=0, **fields):
         """Return status, header fields and body; the body is None if truncated."""
@@ -404,19 +404,19 @@
         return first
 
     async def _restart(self, site):
-        restarted = TargetStandIn("t1", self._rest, born=2000)
+        restarted = TargetStandIn("t1", self._answer_or_resume, born=2000)
         await site.add_target(restarted)
         async with asyncio.timeout(BOUND_S):
             while "t1@2000" not in site.instances[0].targets:
                 await asyncio.sleep(0.005)
         return restarted
 
-    def _rest(self, number, fields, body):
+    def _answer_or_resume(self, number, fields, body):
         if "last-event-id" in fields:
             return _stream_parts(fields, range(int(fields["last-event-id"]) + 1, 6))
         return answer(fields)
 
-    async def _arrived(self, target, count):
+    async def _wait_for_requests(self, target, count):
         async with asyncio.timeout(BOUND_S):
             while len(target.requests) < count:
                 await asyncio.sleep(0.005)
@@ -424,7 +424,7 @@
     async def test_an_at_most_once_request_fails(self, site):
         first = await self._start(site, lambda n, fields, body: ["hang"])
         task = asyncio.create_task(site.call("/once/"))
-        await self._arrived(first, 1)
+        await self._wait_for_requests(first, 1)
         restarted = await self._restart(site)
         status, _fields, _body = await task
         assert status == 502
@@ -436,7 +436,7 @@
 
         first = await self._start(site, begin)
         task = asyncio.create_task(site.call("/resume/"))
-        await self._arrived(first, 1)
+        await self._wait_for_requests(first, 1)
         restarted = await self._restart(site)
         status, _fields, body = await task
         assert status == 200
@@ -446,7 +446,7 @@
     async def test_its_slots_are_released(self, site):
         first = await self._start(site, lambda n, fields, body: ["hang"])
         hanging = [asyncio.create_task(site.call("/once/")) for _ in range(4)]
-        await self._arrived(first, 4)
+        await self._wait_for_requests(first, 4)
         restarted = await self._restart(site)
         statuses = [(await site.call("/once/"))[0] for _ in range(4)]
         assert statuses == [200] * 4
@@ -454,7 +454,7 @@
         assert {(await task)[0] for task in hanging} == {502}
 
     async def test_an_instance_without_the_store_learns_of_it(self, site):
-        await self._start(site, self._rest)
+        await self._start(site, self._answer_or_resume)
         second = await site.add_instance()
         async with asyncio.timeout(BOUND_S):
             while any(len(i.view.members) < 2 for i in site.instances):
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -30,7 +30,7 @@
 
 
 class Fleet:
-    """Connected quota keepers on a simulated clock."""
+    """Connected quota limiters on a simulated clock."""
 
     def __init__(self, count, monkeypatch, loop):
         self.now = 1000.0
@@ -43,7 +43,7 @@
         self.set_view(range(count), 0)
 
     def restart(self):
-        """Replace all keepers with new ones, as after a power failure."""
+        """Replace all limiters with new ones, as after a power failure."""
         self.limiters = [
             QuotaLimiter(f"new{n}", f"a{n}", link, BOUNDS)
             for n, link in enumerate(self.links)
@@ -88,7 +88,7 @@
         assert window.total(8.0) == 7
 
 
-class TestQuotaKeeper:
+class TestQuotaLimiter:
     async def test_all_instances_together_stay_within_the_limit(self, fleet):
         used_at = []
         for _step in range(100):
