--- a/hibiscusstep/forwarding/grant_client.py
+++ b/hibiscusstep/forwarding/grant_client.py
@@ -204,7 +204,7 @@
             resting=self._context.target_backoff.names_backing_off(self._now()),
             route=incoming.route.name,
         )
-        wanted = GrantRequest(
+        grant_request = GrantRequest(
             incoming.pool,
             work,
             grant_deadline,
@@ -214,7 +214,7 @@
             incoming.deadline,
         )
         try:
-            reply = await self._context.desk.ask(wanted)
+            reply = await self._context.desk.ask(grant_request)
         except MailboxFull:
             reply = Refused(m.RefusalReason.LOAD, 1.0)
         if isinstance(reply, Granted):
--- a/hibiscusstep/platform/settings.py
+++ b/hibiscusstep/platform/settings.py
@@ -18,8 +18,8 @@
 DISABLED_MECHANISMS_VARIABLE = "HIBISCUSSTEP_OFF"
 # The deploy file declares the same port and path for the metrics.
 METRICS_PORT = 9464
-# A dead peer is suspected after 1 s, four missed heartbeats, well within the time in
-# which another dispatcher must take over.
+# A dead peer is taken to be gone after 1 s, that is four missed heartbeats, well within
+# the time in which another instance must take over as a pool's dispatcher.
 HEARTBEAT_INTERVAL_S = 0.25
 SUSPECT_AFTER_S = 1.0
 # Link bandwidth that keeps two cores busy; relays and dispatchers serve many peers.
