--- a/hibiscusstep/admission.py
+++ b/hibiscusstep/admission.py
@@ -71,7 +71,7 @@
         Rank of the tier, 0 the highest.
     route : Route
         Settings of its route.
-    head : CallerHead
+    head : RequestHead
         Method, path and headers.
     body : bytes
         Forwarded unchanged.
@@ -103,7 +103,7 @@
 
     @property
     def key_digest(self) -> bytes:
-        """Digest of customer and key, 16 bytes; independent of the route's name."""
+        """Digest of customer and key, 16 bytes; not of the route, as that may be renamed."""
         data = f"{self.customer}\0{self.head.key}".encode()
         return hashlib.blake2b(data, digest_size=16).digest()
 
--- a/hibiscusstep/attempt.py
+++ b/hibiscusstep/attempt.py
@@ -123,7 +123,10 @@
         )
 
     def _decode_seconds(self, now: float) -> float:
-        """Return the decoding seconds if streamed, else the negated total seconds."""
+        """Return the decoding seconds if streamed, else the negated total seconds.
+
+        It is 0 if there was no first token.
+        """
         if self._first_token_at is None:
             return 0.0
         return (
--- a/hibiscusstep/checker.py
+++ b/hibiscusstep/checker.py
@@ -1,7 +1,7 @@
 """hibiscusstep.checker: finds violations of the guarantees in a recorded history.
 
-The guarantees are defined in docs/PROMISES.md; each function in `CHECKS` checks one of
-them.
+The guarantees are the promises of docs/PROMISES.md; each function in `CHECKS` checks
+one of them.
 """
 
 from collections import defaultdict
--- a/hibiscusstep/dispatch_client.py
+++ b/hibiscusstep/dispatch_client.py
@@ -1,4 +1,9 @@
-"""hibiscusstep.dispatch_client: requests grants from the dispatchers of pools."""
+"""hibiscusstep.dispatch_client: requests grants from the dispatchers of pools.
+
+A grant assigns one slot of a target to a request. One instance runs the dispatcher that
+all instances use for a pool. While that one is unreachable, each instance uses its own
+standby dispatcher, which grants a limited share of the slots.
+"""
 
 import asyncio
 import itertools
@@ -38,10 +43,13 @@
 __all__ = ["DispatchClient"]
 
 TICK_S = 0.2
+# Length of a period with the standby dispatcher. It doubles from period to period until
+# the pool's dispatcher, on another instance, responds.
 MIN_STANDBY_S = 0.5
 MAX_STANDBY_S = 4.0
 # The longest time for which a lost `PoolFinished` message keeps a slot occupied.
 HELD_REPORT_INTERVAL_S = 1.5
+# Seconds after its deadline until a request without a decision is refused here.
 DECISION_GRACE_S = 0.5
 # Seconds between the `PoolQueued` messages of a dispatcher with few waiting instances.
 # A dispatcher with many sends them less often and states the interval.
@@ -64,14 +72,14 @@
 
 @dataclass(slots=True)
 class _PoolState:
-    """The waiting and running requests of one pool, and its dispatcher.
+    """The waiting and running requests of one pool, by ask, and the dispatcher in use.
 
     `last_heard_at` is the time of the dispatcher's last message and `max_silence_s` the
-    seconds of silence allowed after it. Until `standby_until` the instance dispatches
-    its own requests; the next such period lasts `standby_s` seconds. `is_standby` is
-    whether it did so at the last update: the next dispatcher for all instances must
-    receive the running requests, even if it is this instance. `held_reported` is
-    whether the last `PoolHeld` listed any running request.
+    seconds of silence allowed after it. The standby dispatcher is used until
+    `standby_until`; the next such period lasts `standby_s` seconds. `is_standby` is
+    whether it was in use at the last update: the pool's dispatcher must then be sent
+    the running requests, even if it is on this instance. `held_reported` is whether the
+    last `PoolHeld` listed any running request.
     """
 
     dispatcher: Member | None = None
@@ -97,8 +105,8 @@
     deliver_local : callable of Received
         Delivers messages to the dispatchers of this instance.
     standby_after : float
-        Seconds of a dispatcher's silence after which this instance dispatches its
-        own requests; 0 disables this.
+        Seconds of a dispatcher's silence after which this instance uses its standby
+        dispatcher; 0 disables this.
     """
 
     def __init__(
@@ -295,7 +303,7 @@
                 state.standby_s = MIN_STANDBY_S
 
     def _start_standby(self) -> None:
-        """Dispatch own requests in pools whose dispatcher has been silent too long."""
+        """Use the standby dispatcher in pools whose dispatcher is silent too long."""
         if not self._standby_after:
             return
         now = asyncio.get_running_loop().time()
@@ -317,7 +325,10 @@
                 )
 
     def _report_held(self) -> None:
-        """Send the running requests periodically, so that lost ends free slots."""
+        """Report the running requests periodically.
+
+        The dispatcher frees the slots of all others, whose `PoolFinished` was lost.
+        """
         now = asyncio.get_running_loop().time()
         if (
             not self._standby_after
@@ -336,11 +347,12 @@
         return self._dispatcher_names[pool]
 
     def _is_standby(self, pool: str, state: _PoolState) -> bool:
-        """Whether this instance dispatches its own requests of a pool.
+        """Whether to use the standby dispatcher for a pool.
 
-        It does if the dispatcher is silent or if there is none: after a restart of all
-        instances, none is ready to dispatch for about a second. Waiting until the
-        silence was detected delayed each of the first requests by 0.12 to 0.16 s.
+        It is used if the pool's dispatcher is silent or if there is none: after a
+        restart of all instances, none is ready to dispatch for about a second. Waiting
+        until the silence was detected delayed each of the first requests by 0.12 to
+        0.16 s.
         """
         if asyncio.get_running_loop().time() < state.standby_until:
             return True
@@ -369,21 +381,21 @@
                 self._register(pool, state)
 
     def _register(self, pool: str, state: _PoolState) -> None:
-        renamed = {
+        reissued = {
             f"{self._incarnation}.{next(self._ask_numbers)}": tracked
             for tracked in state.waiting.values()
         }
         now = asyncio.get_running_loop().time()
         state.last_heard_at = now
         state.max_silence_s = self._standby_after
-        for tracked in renamed.values():
+        for tracked in reissued.values():
             tracked.asked_at = now
-        state.waiting = renamed
+        state.waiting = reissued
         message = PoolRegister(
             pool,
             self._own_name,
             self._incarnation,
-            [self._work_info(ask, tracked) for ask, tracked in renamed.items()],
+            [self._work_info(ask, tracked) for ask, tracked in reissued.items()],
             [self._work_info(ask, tracked) for ask, tracked in state.running.items()],
             [tracked.target for tracked in state.running.values()],
         )
--- a/hibiscusstep/dispatcher_host.py
+++ b/hibiscusstep/dispatcher_host.py
@@ -1,4 +1,9 @@
-"""hibiscusstep.dispatcher_host: runs the dispatchers of an instance's pools."""
+"""hibiscusstep.dispatcher_host: runs the dispatchers of an instance.
+
+These are the dispatchers that all instances use, for the pools assigned to this one,
+and standby dispatchers, which grant slots to this instance's own requests only, while a
+pool's dispatcher is unreachable.
+"""
 
 from __future__ import annotations
 
@@ -61,8 +66,8 @@
 # 40 us, so this is 4 % of a core. Keepalives to 195 instances at each tick were 3,900
 # a second, a fifth of a dispatcher's capacity.
 KEEPALIVES_PER_S = 1000.0
-# An instance in standby uses at most this multiple of an even share of the slots: its
-# load may be above average, and all other instances may be in standby too.
+# A standby dispatcher grants at most this multiple of an even share of the slots: its
+# instance's load may be above average, and all others may use standby dispatchers too.
 STANDBY_SHARES = 2.0
 # In a region without a full mesh, an instance whose `PoolHeld` message is absent for
 # this long (three were missed) is considered dead and its requests are dropped.
@@ -86,7 +91,7 @@
 
 
 class DispatcherHost(Worker):
-    """Passes messages to pure dispatchers and executes their decisions.
+    """Passes messages to dispatchers, which do no I/O, and executes their decisions.
 
     Parameters
     ----------
@@ -99,17 +104,18 @@
     sessions : TargetSessions
         Used to read the targets' load reports.
     tier_guard : bool
-        Whether tiers are guarded; off only to show what the guard prevents.
+        Whether lower tiers are shed before higher ones; off only to show the failure
+        that this prevents.
     dispatcher_class : type
         Creates the dispatcher of a pool.
     polls_load : bool
         Whether to read the targets' load reports.
     has_standby : bool
-        Whether to dispatch this instance's own requests of any pool on demand.
+        Whether to create standby dispatchers on demand.
     keep_estimates : callable of PoolLearnt or None
         Stores the estimates of the dispatchers here, so that they survive restarts.
     on_rollout : callable of RolloutUpdate or None
-        Called with the progress of rollouts of a pool's version.
+        Called with the progress and the end of rollouts of new versions.
     """
 
     def __init__(
@@ -333,7 +339,7 @@
                 self._send(address, keepalive)
 
     def _standby_dispatcher(self, pool: str) -> HostedDispatcher | None:
-        """Return the dispatcher for own requests only, created on demand."""
+        """Return the pool's standby dispatcher, created on demand; None if disabled."""
         if not self._has_standby or self._configuration is None:
             return None
         if pool not in self._standby_hosted:
@@ -427,7 +433,8 @@
         removed = previous.keys() - view.members.keys()
         self._update_hosted()
         for pool, hosted in self._hosted.items():
-            # In a large region a relay missing from the view may follow another relay.
+            # In a large region a relay missing from the view may have become a follower
+            # of another relay, and keeps its requests.
             for name in removed if view.is_mesh else ():
                 self._feed(hosted, m.InstanceGone(name))
                 hosted.dropped_incarnations.add(previous[name].incarnation)
--- a/hibiscusstep/grant_messages.py
+++ b/hibiscusstep/grant_messages.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantRequest:
-    """A request for a grant, that is for a target.
+    """A request for a grant, that is for a slot of a target.
 
     Parameters
     ----------
--- a/hibiscusstep/hosted_dispatcher.py
+++ b/hibiscusstep/hosted_dispatcher.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.hosted_dispatcher: a hosted dispatcher; conversion of peer messages."""
+"""hibiscusstep.hosted_dispatcher: state of a hosted dispatcher; message conversion."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, eq=False)
 class HostedDispatcher:
-    """A pool's dispatcher that this instance runs.
+    """A dispatcher that this instance runs, and the state that its host keeps for it.
 
     `registered_incarnations` are those that reported their requests,
     `dropped_incarnations` those considered dead since. `addresses` and `last_heard_at`
@@ -23,8 +23,9 @@
     `keepalives_sent_at` is the time of the last keepalives to instances with waiting
     requests, `keepalive_interval_s` the seconds until the next. `state_logged_at` is
     the time of the last log of the state, `rollout_reported_at` that of the last report
-    of the rollout's progress. `created_at` is when the dispatcher was created, 0 for
-    one that dispatches own requests only.
+    of the rollout's progress. `poller` reads the targets' load reports. `created_at` is
+    when the dispatcher was created, 0 for a standby dispatcher. Times are in seconds on
+    the loop's clock.
     """
 
     dispatcher: PoolDispatcher
--- a/hibiscusstep/instance.py
+++ b/hibiscusstep/instance.py
@@ -136,7 +136,7 @@
 
         Parameters
         ----------
-        spent : float
+        elapsed : float
             Seconds since the instance was asked to stop.
         """
         _LOG.info("draining", extra={"open": self._caller_server.open_requests})
--- a/hibiscusstep/kept_answers.py
+++ b/hibiscusstep/kept_answers.py
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptStarted:
-    """An attempt with a key is about to be claimed."""
+    """An attempt is about to claim its key."""
 
     digest: bytes
     attempt: str
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchAnswer:
-    """A question for the outcome of an attempt; the reply waits while it runs.
+    """A request for the outcome of an attempt; the reply waits while that runs.
 
     Parameters
     ----------
--- a/hibiscusstep/peer.py
+++ b/hibiscusstep/peer.py
@@ -150,7 +150,7 @@
 
 @dataclass(slots=True)
 class PoolFinished:
-    """Reports the end of a granted request; `outcome` is a value of ``Outcome``."""
+    """Reports the end of a granted request; `outcome` is a ``GrantOutcome``."""
 
     pool: str
     ask: str
@@ -215,7 +215,7 @@
 
 @dataclass(slots=True)
 class PoolLearnt:
-    """A dispatcher's estimates for its successor; see ``messages.Learnt``."""
+    """A dispatcher's estimates for its successor; see ``LearnedEstimates``."""
 
     pool: str
     targets: list[str]
@@ -227,7 +227,7 @@
 
 @dataclass(slots=True)
 class PoolRefuse:
-    """Refuses an ask; `reason` is a value of ``Reason``."""
+    """Refuses an ask; `reason` is a value of ``RefusalReason``."""
 
     pool: str
     ask: str
@@ -340,7 +340,7 @@
 
 @dataclass(slots=True)
 class StatusReply:
-    """Answers `StatusAsk`; `text` is the JSON form of ``PoolStatus``."""
+    """Answers `StatusAsk`; `text` is the JSON form of `DispatcherHost.status`."""
 
     number: str
     text: str
