--- a/hibiscusstep/claims/client.py
+++ b/hibiscusstep/claims/client.py
@@ -83,7 +83,7 @@
     If the writer is lost, the claim is resent to the next one. This is safe, since a
     writer confirms an attempt that already holds its key. A claim that is not confirmed
     in time is answered *unavailable* and released: the requester must treat its attempt
-    as dead.
+    as dead, that is never dispatch it.
 
     Parameters
     ----------
--- a/hibiscusstep/claims/records.py
+++ b/hibiscusstep/claims/records.py
@@ -25,8 +25,8 @@
     Parameters
     ----------
     digest, body_digest : bytes
-        Digest of customer, route and key; digest of the parts of the request that a
-        repeat must match.
+        Digest of customer and key; digest of the parts of the request that a repeat
+        must match.
     holder, incarnation, attempt : str
         Instance, incarnation and attempt that may dispatch the request once.
     at : int
--- a/hibiscusstep/claims/shard.py
+++ b/hibiscusstep/claims/shard.py
@@ -35,6 +35,7 @@
 MAX_SEGMENT_RECORDS = 6000
 RETRY_PAUSE_S = 0.2
 OUTAGE_AFTER_S = 1.0
+# After this time, a key is reported as held only once the head has been read again.
 MAX_INDEX_AGE_S = 1.0
 MAX_BATCH_CLAIMS = 1000
 
@@ -135,7 +136,7 @@
         self._work_queued.set()
 
     def release(self, record: ClaimRecord) -> None:
-        """Queue the release of a claim whose attempt is dead."""
+        """Queue the release of a claim whose attempt will never be dispatched."""
         self._releases.append(replace(record, released=True))
         self._work_queued.set()
 
