--- a/hibiscusstep/membership/mesh.py
+++ b/hibiscusstep/membership/mesh.py
@@ -125,7 +125,7 @@
         self._send_beats()
 
     def _handle_beat(self, beat: Beat, now: float) -> bool:
-        """Record a short heartbeat; return False if its sender must be greeted."""
+        """Record a short heartbeat; return False if a full one must be requested."""
         return self._tracker.record_beat(beat.incarnation, beat.version, now)
 
     def _update_own_state(self, state: OwnStateChange) -> None:
@@ -141,7 +141,7 @@
         if beat.region != self._settings.region:
             return
         member = self._tracker.record_heartbeat(beat, now)
-        # Greeting a sender that is not accepted as a member would never end.
+        # A sender that is not accepted as a member would answer each reply without end.
         new = member and beat.instance not in self._view.members
         self._mentioned_at.update(dict.fromkeys(beat.known, now))
         self._mentioned_at[beat.peer_address] = now
@@ -149,7 +149,10 @@
             self._send_heartbeat(beat.peer_address, with_known=new, greet=False)
 
     def _send_beats(self) -> None:
-        """Send heartbeats to all contacts: full ones to strangers and at intervals."""
+        """Send heartbeats to all contacts, full ones to non-members and at intervals.
+
+        Those to non-members ask for a full heartbeat in return (`greet`).
+        """
         self._tick_count += 1
         members = {m.peer_address for m in self._view.members.values()}
         beat = Beat(self._own.incarnation, self._own.version)
--- a/hibiscusstep/membership/sliding_maximum.py
+++ b/hibiscusstep/membership/sliding_maximum.py
@@ -15,8 +15,8 @@
 
     Parameters
     ----------
-    seconds : float
-        Length of the window.
+    window_s : float
+        Length of the window in seconds.
     """
 
     def __init__(self, window_s: float) -> None:
--- a/hibiscusstep/membership/tracker.py
+++ b/hibiscusstep/membership/tracker.py
@@ -58,9 +58,9 @@
         return now < self._ignored_until.get(incarnation, -math.inf)
 
     def record_beat(self, incarnation: str, version: int, now: float) -> bool:
-        """Record a short heartbeat; return False if its sender must be greeted.
+        """Record a short heartbeat; return False if a full one must be requested.
 
-        Senders that are members or taken for dead are not greeted.
+        None is requested from senders that are members or are considered dead.
         """
         tracked = self._tracked.get(self._name_by_incarnation.get(incarnation, ""))
         if tracked is None or tracked.member.incarnation != incarnation:
