--- a/hibiscusstep/load/account.py
+++ b/hibiscusstep/load/account.py
@@ -202,7 +202,7 @@
         self._centres: dict[str, str] = {}
         self._roles: dict[str, str] = {}
         # Granted requests that have not ended: time of the grant, and whether the
-        # objective had already passed.
+        # objective had already passed, as on the retry of a late attempt.
         self._granted: dict[str, tuple[float, bool]] = {}
 
     def read(self, record: dict) -> None:
--- a/hibiscusstep/load/deployment.py
+++ b/hibiscusstep/load/deployment.py
@@ -110,7 +110,7 @@
     instances : int
         Number of instances; requests are spread evenly over them.
     alone : float
-        Seconds after a restart in which each instance dispatches locally.
+        Seconds after a restart in which each instance uses its standby dispatcher.
     """
 
     slowness: tuple[float, ...]
--- a/hibiscusstep/load/drawn_rollout.py
+++ b/hibiscusstep/load/drawn_rollout.py
@@ -109,8 +109,8 @@
     instances : int
         Number of instances that send the requests.
     partition : tuple of float
-        Start and end of a partition in which a fifth of the instances dispatch for
-        themselves; empty for none.
+        Start and end of a partition in which a fifth of the instances use their
+        standby dispatchers; empty for none.
     kill_at : float
         Time at which the pool's dispatcher is lost; 0 for never.
     store_down : tuple of float
--- a/hibiscusstep/load/rollout_result.py
+++ b/hibiscusstep/load/rollout_result.py
@@ -6,7 +6,8 @@
 
 __all__ = ["TOLERATED_BAD_ANSWERS", "RolloutResult"]
 
-# A bad version must receive no request later than this after its 50th bad answer.
+# A bad version must receive no request more than `MAX_ROLLBACK_S` after this many bad
+# answers.
 TOLERATED_BAD_ANSWERS = 50
 MAX_ROLLBACK_S = 5.0
 
