--- a/hibiscusstep/standins/batching.py
+++ b/hibiscusstep/standins/batching.py
@@ -33,7 +33,7 @@
     prefill_chunk : int
         Maximum prompt tokens per step; they delay all streams.
     slow : float
-        Slowdown factor; divides both rates.
+        Slowdown factor; divides both rates; 1 is full speed.
     """
 
     prefill_rate: float = 4000.0
--- a/hibiscusstep/standins/platform.py
+++ b/hibiscusstep/standins/platform.py
@@ -110,7 +110,11 @@
         return web.Response(status=503)
 
     async def _delay_answer(self) -> None:
-        """Wait until the platform is up, at most `MAX_OUTAGE_S`, and 5 s more."""
+        """Delay an answer that the caller must not get, so that its call times out.
+
+        Waits until the platform is up, at most `MAX_OUTAGE_S`, and 5 s more, which is
+        longer than the timeout of a call and thus also hides a lost answer.
+        """
         until = asyncio.get_running_loop().time() + MAX_OUTAGE_S
         while asyncio.get_running_loop().time() < until:
             await asyncio.sleep(0.05)
