--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -353,11 +353,11 @@
         return [event for event in self.history() if event.kind is kind]
 
     def findings(self):
-        """Return the promises broken so far."""
+        """Return the violations of guarantees so far."""
         return check_history(self.history(), self.killed)
 
     def check(self):
-        """Fail with the findings if a promise was broken."""
+        """Fail with the findings if a guarantee was violated."""
         findings = self.findings()
         assert not findings, "\n".join(map(str, findings))
 
--- a/tests/test_dispatch_client.py
+++ b/tests/test_dispatch_client.py
@@ -102,7 +102,7 @@
 
 
 class TestBecomesTheDispatcher:
-    """An instance that dispatched its own requests becomes the dispatcher for all."""
+    """An instance that used its standby dispatcher becomes the pool's dispatcher."""
 
     async def test_registers_the_requests_that_it_granted_alone(self):
         fixture = _Fixture()
@@ -171,7 +171,7 @@
     """A dispatcher with many waiting instances sends rarer keepalives and says so."""
 
     async def _is_standby_after(self, keepalive, seconds):
-        """Return whether it is in standby `seconds` after a keepalive."""
+        """Return whether the standby dispatcher is used `seconds` after a keepalive."""
         fixture = _Fixture()
         await fixture.start(n0=False, n1=True)
         await fixture.ask()
--- a/tests/test_hierarchical.py
+++ b/tests/test_hierarchical.py
@@ -155,11 +155,11 @@
     dispatcher's processor time were spent on the maximum of 5,500 numbers. Relays also
     greeted followers with each beat, and each greeting was answered by a heartbeat: 340
     a second at a relay. Relays dispatch the pools; with little processor time their
-    decisions were late, so that groups of instances took them for silent and dispatched
-    alone, each with a small part of the slots. With a profiler in each process, this
-    happened 970 times in ten seconds and 0.26 of the possible value was earned; after
-    the fix 0 times and 0.67. This was not shown to cause the low value of the region in
-    which it was found.
+    decisions were late, so that groups of instances took them for silent and used their
+    standby dispatchers, each with a small share of the slots. With a profiler in each
+    process, this happened 970 times in ten seconds and 0.26 of the possible value was
+    earned; after the fix 0 times and 0.67. This was not shown to cause the low value of
+    the region in which it was found.
     """
 
     @pytest.fixture
@@ -216,7 +216,7 @@
 
 
 class TestRegionSizeAtStartup:
-    """An isolated instance takes its share of the slots by the size of the region."""
+    """An isolated instance's standby dispatcher shares slots by the region's size."""
 
     async def test_it_is_the_length_of_the_list_at_first(self):
         settings = InstanceSettings(
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -63,7 +63,7 @@
 
 
 def check(fleet, *killed):
-    """Check the promises after the last answers are recorded."""
+    """Check the guarantees after the last answers are recorded."""
     end = time.monotonic() + 5.0
     while open_requests(fleet, killed) and time.monotonic() < end:
         time.sleep(0.02)
