--- a/hibiscusstep/admission.py
+++ b/hibiscusstep/admission.py
@@ -103,7 +103,7 @@
 
     @property
     def key_digest(self) -> bytes:
-        """Digest of customer and key, 16 bytes; not of the route, as that may be renamed."""
+        """Digest of customer and key, 16 bytes; the route may be renamed meanwhile."""
         data = f"{self.customer}\0{self.head.key}".encode()
         return hashlib.blake2b(data, digest_size=16).digest()
 
--- a/hibiscusstep/checker.py
+++ b/hibiscusstep/checker.py
@@ -15,7 +15,9 @@
 CLOCK_SLACK_S = 0.25
 LEAVING_BOUND_S = 3.0
 IN_FORCE_BOUND_S = 12.0
+# Names of the problems of requests that were refused for load.
 LOAD_REFUSALS = frozenset({"overloaded", "deadline", "displaced"})
+# Names of problems that do not state whether an earlier request with the key was run.
 EARLIER_RUN_UNKNOWN = frozenset({"claims-unavailable", "key-reused"})
 ENDS = frozenset(
     {
@@ -237,8 +239,9 @@
     def violates_order(self, at: float, since: float) -> bool:
         """Return whether the request waits, or runs in violation of the tier order.
 
-        It must do so from `CLOCK_SLACK_S` before `at` to `CLOCK_SLACK_S` after it.
-        `since` is when the refused request was queued.
+        A running request violates it if it may be stopped, or if it was dispatched
+        after `since`, when the refused request was queued. The request must wait or run
+        from `CLOCK_SLACK_S` before `at`, the time of the refusal, to as much after it.
         """
         early, late = at - CLOCK_SLACK_S, at + CLOCK_SLACK_S
         if self.queued > early or self.ended < late:
