--- a/hibiscusstep/membership/hierarchical.py
+++ b/hibiscusstep/membership/hierarchical.py
@@ -116,34 +116,34 @@
             case _:
                 await super().handle(message)
 
-    def _handle_heartbeat(self, beat: Heartbeat, now: float) -> None:
-        if beat.region != self._settings.region:
+    def _handle_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
+        if heartbeat.region != self._settings.region:
             return
-        if beat.leaving:
-            self._parent_selector.avoid(beat.peer_address, now)
-        if beat.relay:
-            self._follower_tracker.remove(beat.instance)
-            super()._handle_heartbeat(beat, now)
+        if heartbeat.leaving:
+            self._parent_selector.avoid(heartbeat.peer_address, now)
+        if heartbeat.relay:
+            self._follower_tracker.remove(heartbeat.instance)
+            super()._handle_heartbeat(heartbeat, now)
         else:
-            self._tracker.remove(beat.instance)
-            self._handle_follower_heartbeat(beat, now)
+            self._tracker.remove(heartbeat.instance)
+            self._handle_follower_heartbeat(heartbeat, now)
 
-    def _handle_follower_heartbeat(self, beat: Heartbeat, now: float) -> None:
-        self._mentioned_at.update(dict.fromkeys(beat.known, now))
-        # A follower that is greeted with each beat answers each time with a full
+    def _handle_follower_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
+        self._mentioned_at.update(dict.fromkeys(heartbeat.known, now))
+        # A follower that is greeted with each heartbeat answers each time with a full
         # heartbeat, which doubled the messages of a relay. A follower that becomes a
         # relay announces itself.
-        self._mentioned_at.pop(beat.peer_address, None)
-        if beat.parent != self._settings.peer_address:
-            self._follower_tracker.remove(beat.instance)
+        self._mentioned_at.pop(heartbeat.peer_address, None)
+        if heartbeat.parent != self._settings.peer_address:
+            self._follower_tracker.remove(heartbeat.instance)
             return
-        known = beat.instance in self._follower_tracker.members
-        new = self._follower_tracker.record_heartbeat(beat, now) and not known
+        known = heartbeat.instance in self._follower_tracker.members
+        new = self._follower_tracker.record_heartbeat(heartbeat, now) and not known
         self._relay_until = now + RELAY_WITHOUT_FOLLOWERS_S
         self._update_role(now)
-        if new or beat.greet:
-            self._send_heartbeat(beat.peer_address, with_known=False, greet=False)
-            self._send_relays(beat.peer_address)
+        if new or heartbeat.greet:
+            self._send_heartbeat(heartbeat.peer_address, with_known=False, greet=False)
+            self._send_relays(heartbeat.peer_address)
 
     def _handle_beat(self, beat: Beat, now: float) -> bool:
         known = self._follower_tracker.record_beat(beat.incarnation, beat.version, now)
@@ -153,9 +153,9 @@
         """Replace the known relays by the parent's list."""
         self._parent_selector.record_message(now)
         self._region_size = relay_list.instances
-        for beat in relay_list.relays:
-            self._tracker.record_heartbeat(beat, now)
-        relay_names = {beat.instance for beat in relay_list.relays}
+        for heartbeat in relay_list.relays:
+            self._tracker.record_heartbeat(heartbeat, now)
+        relay_names = {heartbeat.instance for heartbeat in relay_list.relays}
         for name in self._tracker.members.keys() - relay_names:
             self._tracker.remove(name)
         self._publish_if_changed()
--- a/hibiscusstep/membership/mesh.py
+++ b/hibiscusstep/membership/mesh.py
@@ -107,8 +107,8 @@
         match message:
             case Tick():
                 self._handle_tick(now)
-            case Received(message=Heartbeat() as beat):
-                self._handle_heartbeat(beat, now)
+            case Received(message=Heartbeat() as heartbeat):
+                self._handle_heartbeat(heartbeat, now)
             case Received(sender=sender, message=Beat() as beat):
                 if not self._handle_beat(beat, now):
                     self._send_heartbeat(sender, with_known=False, greet=True)
@@ -137,16 +137,16 @@
         self._own = replace(self._own, **changes)
         self._send_heartbeats()
 
-    def _handle_heartbeat(self, beat: Heartbeat, now: float) -> None:
-        if beat.region != self._settings.region:
+    def _handle_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
+        if heartbeat.region != self._settings.region:
             return
-        member = self._tracker.record_heartbeat(beat, now)
+        member = self._tracker.record_heartbeat(heartbeat, now)
         # A sender that is not accepted as a member would answer each reply without end.
-        new = member and beat.instance not in self._view.members
-        self._mentioned_at.update(dict.fromkeys(beat.known, now))
-        self._mentioned_at[beat.peer_address] = now
-        if new or beat.greet:
-            self._send_heartbeat(beat.peer_address, with_known=new, greet=False)
+        new = member and heartbeat.instance not in self._view.members
+        self._mentioned_at.update(dict.fromkeys(heartbeat.known, now))
+        self._mentioned_at[heartbeat.peer_address] = now
+        if new or heartbeat.greet:
+            self._send_heartbeat(heartbeat.peer_address, with_known=new, greet=False)
 
     def _send_beats(self) -> None:
         """Send heartbeats to all contacts, full ones to non-members and at intervals.
@@ -181,10 +181,10 @@
 
     def _send_heartbeat(self, address: str, with_known: bool, greet: bool) -> None:
         known = [m.peer_address for m in self._view.members.values()]
-        beat = heartbeat_of(self._own, self._view.parent)
-        beat.known = known if with_known else []
-        beat.greet = greet
-        self._links.tell(Send(address, beat))
+        heartbeat = heartbeat_of(self._own, self._view.parent)
+        heartbeat.known = known if with_known else []
+        heartbeat.greet = greet
+        self._links.tell(Send(address, heartbeat))
 
     def _publish_if_changed(self) -> None:
         view = self._make_view()
