--- a/hibiscusstep/load/compare.py
+++ b/hibiscusstep/load/compare.py
@@ -197,7 +197,7 @@
             return await response.json()
 
 
-def _ignore_line(_format_report: str) -> None:
+def _ignore_line(_line: str) -> None:
     pass
 
 
--- a/hibiscusstep/load/rollout_emulator.py
+++ b/hibiscusstep/load/rollout_emulator.py
@@ -80,10 +80,12 @@
             for n, slowness in enumerate(of)
         }
         self._version_table = PoolVersionTable()
+        # Plan of the partitioned instances during the partition.
         self._stale_plan: DispatchPlan | None = None
         self._revision = 1
         self._completed = False
         self._requests: dict[str, tuple[Route, float, str]] = {}
+        # Standby dispatchers of the partitioned instances.
         self._partition_dispatchers: dict[str, SlotDispatcher] = {}
         self._tolerance_reached_at = 0.0
         self._requests_by_second: dict[int, Counter] = defaultdict(Counter)
