--- a/hibiscusstep/cmdline/client.py
+++ b/hibiscusstep/cmdline/client.py
@@ -262,21 +262,21 @@
     Queries an instance, or with --log reads the log lines of all instances.
     """
     if log is not None:
-        story = build_timeline(request, parse_lines(log))
-        if not story:
+        timeline = build_timeline(request, parse_lines(log))
+        if not timeline:
             raise HibiscusstepError("no log line of this request", step="explain")
-        fields = [line.fields for line in story]
-        _print_result(fields, as_json, (line.text() for line in story))
+        fields = [line.fields for line in timeline]
+        _print_result(fields, as_json, (line.text() for line in timeline))
         return
     if not entry or not key:
         raise click.UsageError("give --log, or --entry and --key")
-    notes = run(_query(entry, key, lambda client: client.explain(request)))
+    steps = run(_query(entry, key, lambda client: client.explain(request)))
     lines = (
-        f"{note['at']:.3f} {note['what']}: "
-        + " ".join(f"{name}={value}" for name, value in note["fields"].items())
-        for note in notes
+        f"{item['at']:.3f} {item['what']}: "
+        + " ".join(f"{name}={value}" for name, value in item["fields"].items())
+        for item in steps
     )
-    _print_result(notes, as_json, lines)
+    _print_result(steps, as_json, lines)
 
 
 @main.command()
--- a/hibiscusstep/cmdline/entry.py
+++ b/hibiscusstep/cmdline/entry.py
@@ -92,8 +92,8 @@
     from hibiscusstep.forwarding.instance import ForwardingInstance
     from hibiscusstep.platform.environment import load_environment
 
-    surroundings = load_environment(path, callers)
-    return surroundings.settings, lambda: ForwardingInstance(surroundings)
+    environment = load_environment(path, callers)
+    return environment.settings, lambda: ForwardingInstance(environment)
 
 
 def _exit_if_stopped() -> None:
@@ -108,21 +108,21 @@
 async def _serve(make_instance) -> None:
     import asyncio
 
-    entry = make_instance()
+    entry_instance = make_instance()
     gc.freeze()
     gc.enable()
-    running = asyncio.create_task(entry.run())
+    running = asyncio.create_task(entry_instance.run())
     stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
 
     def on_stop() -> None:
         if stop_requested.is_set():
-            entry.cut("second signal")
+            entry_instance.cut("second signal")
         stop_requested.set()
 
     def on_signal(number: int, _frame) -> None:
         is_reload = number == early_signals.RELOAD_SIGNAL
-        loop.call_soon_threadsafe(entry.reload if is_reload else on_stop)
+        loop.call_soon_threadsafe(entry_instance.reload if is_reload else on_stop)
 
     # Not with the loop's handlers: on closing, the loop restores the default actions,
     # and a further signal would turn a clean exit into a failure.
@@ -130,7 +130,7 @@
         signal.signal(number, on_signal)
     # After the first step of the task, which creates what is reloaded or stopped.
     if early_signals.reload_times:
-        loop.call_soon(entry.reload)
+        loop.call_soon(entry_instance.reload)
     if early_signals.stop_times:
         loop.call_soon(stop_requested.set)
     stopping = asyncio.create_task(stop_requested.wait())
@@ -140,8 +140,9 @@
         running.result()
         return
     first = min(early_signals.stop_times, default=time.monotonic())
-    await entry.drain(time.monotonic() - first)
-    # Until the process ends; the interpreter restores the handlers that it set itself.
+    await entry_instance.drain(time.monotonic() - first)
+    # Ignored until the process ends: the interpreter, at its exit, restores the default
+    # action of signals that have a handler in Python.
     for number in early_signals.HANDLED_SIGNALS:
         signal.signal(number, signal.SIG_IGN)
     running.cancel()
