--- a/hibiscusstep/membership/mesh.py
+++ b/hibiscusstep/membership/mesh.py
@@ -107,8 +107,8 @@
         match message:
             case Tick():
                 self._handle_tick(now)
-            case Received(message=Heartbeat() as beat):
-                self._handle_heartbeat(beat, now)
+            case Received(message=Heartbeat() as heartbeat):
+                self._handle_heartbeat(heartbeat, now)
             case Received(sender=sender, message=Beat() as beat):
                 if not self._handle_beat(beat, now):
                     self._send_heartbeat(sender, with_known=False, greet=True)
@@ -125,7 +125,7 @@
         self._send_beats()
 
     def _handle_beat(self, beat: Beat, now: float) -> bool:
-        """Record a short heartbeat; return False if its sender must be greeted."""
+        """Record a short heartbeat; return False if a full one must be requested."""
         return self._tracker.record_beat(beat.incarnation, beat.version, now)
 
     def _update_own_state(self, state: OwnStateChange) -> None:
@@ -137,19 +137,22 @@
         self._own = replace(self._own, **changes)
         self._send_heartbeats()
 
-    def _handle_heartbeat(self, beat: Heartbeat, now: float) -> None:
-        if beat.region != self._settings.region:
+    def _handle_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
+        if heartbeat.region != self._settings.region:
             return
-        member = self._tracker.record_heartbeat(beat, now)
-        # Greeting a sender that is not accepted as a member would never end.
-        new = member and beat.instance not in self._view.members
-        self._mentioned_at.update(dict.fromkeys(beat.known, now))
-        self._mentioned_at[beat.peer_address] = now
-        if new or beat.greet:
-            self._send_heartbeat(beat.peer_address, with_known=new, greet=False)
+        member = self._tracker.record_heartbeat(heartbeat, now)
+        # A sender that is not accepted as a member would answer each reply without end.
+        new = member and heartbeat.instance not in self._view.members
+        self._mentioned_at.update(dict.fromkeys(heartbeat.known, now))
+        self._mentioned_at[heartbeat.peer_address] = now
+        if new or heartbeat.greet:
+            self._send_heartbeat(heartbeat.peer_address, with_known=new, greet=False)
 
     def _send_beats(self) -> None:
-        """Send heartbeats to all contacts: full ones to strangers and at intervals."""
+        """Send heartbeats to all contacts, full ones to non-members and at intervals.
+
+        Those to non-members ask for a full heartbeat in return (`greet`).
+        """
         self._tick_count += 1
         members = {m.peer_address for m in self._view.members.values()}
         beat = Beat(self._own.incarnation, self._own.version)
@@ -178,10 +181,10 @@
 
     def _send_heartbeat(self, address: str, with_known: bool, greet: bool) -> None:
         known = [m.peer_address for m in self._view.members.values()]
-        beat = heartbeat_of(self._own, self._view.parent)
-        beat.known = known if with_known else []
-        beat.greet = greet
-        self._links.tell(Send(address, beat))
+        heartbeat = heartbeat_of(self._own, self._view.parent)
+        heartbeat.known = known if with_known else []
+        heartbeat.greet = greet
+        self._links.tell(Send(address, heartbeat))
 
     def _publish_if_changed(self) -> None:
         view = self._make_view()
