--- a/hibiscusstep/standins/platform.py
+++ b/hibiscusstep/standins/platform.py
@@ -97,7 +97,9 @@
     async def _set_instances(self, request: web.Request) -> web.Response:
         records = [InstanceRecord(**entry) for entry in await request.json()]
         loop = asyncio.get_running_loop()
-        loop.call_later(self._list_lag, setattr, self._platform, "records", records)
+        loop.call_later(
+            self._list_lag, setattr, self._platform, "instance_records", records
+        )
         return web.Response(status=204)
 
     async def _reply(self, answer, render) -> web.Response:
