--- a/Makefile
+++ b/Makefile
@@ -25,7 +25,7 @@
 	mkdir -p out
 	HIBISCUSSTEP_ALL_FAULTS=1 $(BIN)/python -m pytest tests/test_faults.py -n 4 \
 		--timeout 120 --junitxml out/faults.xml -o junit_family=legacy; \
-	status=$$?; cd tests && PYTHONPATH=../examples ../$(BIN)/python write_faults.py \
+	status=$$?; cd tests && PYTHONPATH=../examples ../$(BIN)/python write_fault_matrix.py \
 		../out/faults.xml ../docs/FAULTS.md; exit $$status
 
 SEEDS ?= 1-50
--- a/hibiscusstep/cmdline/load.py
+++ b/hibiscusstep/cmdline/load.py
@@ -14,10 +14,10 @@
 from hibiscusstep.checker import check_history
 from hibiscusstep.cmdline.common import EXIT_CODES, one_line_errors, run
 from hibiscusstep.events import read_history
-from hibiscusstep.load.account import analyze_log
 from hibiscusstep.load.compare import RunningSystem, compare, summarize
 from hibiscusstep.load.drive import Driver
 from hibiscusstep.load.experiment import gain_table, run_experiment
+from hibiscusstep.load.log_analysis import analyze_log
 from hibiscusstep.load.mix import arrivals, load_mix
 from hibiscusstep.load.plot import plot_log_analysis, plot_rollouts, plot_summary
 from hibiscusstep.load.report import make_report
--- a/hibiscusstep/load/deployment.py
+++ b/hibiscusstep/load/drawn_deployment.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.load.deployment: random pools and loads for the pool emulator."""
+"""hibiscusstep.load.drawn_deployment: random pools and loads for the pool emulator."""
 
 from dataclasses import dataclass
 
--- a/hibiscusstep/load/emulated_target.py
+++ b/hibiscusstep/load/emulated_target.py
@@ -4,7 +4,7 @@
 
 import numpy as np
 
-from hibiscusstep.load.drawn_rollout import (
+from hibiscusstep.load.rollout_scenario import (
     NEW_VERSION,
     OLD_VERSION,
     ORDER_AT_S,
--- a/hibiscusstep/load/experiment.py
+++ b/hibiscusstep/load/experiment.py
@@ -5,7 +5,7 @@
 
 import numpy as np
 
-from hibiscusstep.load.deployment import draw_deployment
+from hibiscusstep.load.drawn_deployment import draw_deployment
 from hibiscusstep.load.pool_emulator import PoolEmulator
 from hibiscusstep.routing.switches import ALL_ENABLED, Switches
 
--- a/hibiscusstep/load/account.py
+++ b/hibiscusstep/load/log_analysis.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.load.account: analyzes log lines for lost and late requests."""
+"""hibiscusstep.load.log_analysis: analyzes log lines for lost and late requests."""
 
 import heapq
 import statistics
--- a/hibiscusstep/load/plot.py
+++ b/hibiscusstep/load/plot.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-from hibiscusstep.load.account import AttemptResult, LogAnalysis
+from hibiscusstep.load.log_analysis import AttemptResult, LogAnalysis
 from hibiscusstep.load.rollout_result import RolloutResult
 
 __all__ = ["plot_log_analysis", "plot_rollouts", "plot_summary"]
@@ -50,7 +50,7 @@
     Parameters
     ----------
     analysis : LogAnalysis
-        As `hibiscusstep.load.account.analyze_log` returns it.
+        As `hibiscusstep.load.log_analysis.analyze_log` returns it.
     path : pathlib.Path
         PNG file to write.
     """
--- a/hibiscusstep/load/pool_emulator.py
+++ b/hibiscusstep/load/pool_emulator.py
@@ -13,7 +13,7 @@
 
 import numpy as np
 
-from hibiscusstep.load.deployment import (
+from hibiscusstep.load.drawn_deployment import (
     RUN_LENGTH_S,
     DrawnDeployment,
     InstanceLoss,
--- a/hibiscusstep/load/rollout_emulator.py
+++ b/hibiscusstep/load/rollout_emulator.py
@@ -12,15 +12,6 @@
 
 from hibiscusstep.forwarding.model import DiscoveredTarget
 from hibiscusstep.forwarding.pool_versions import PoolVersionTable
-from hibiscusstep.load.drawn_rollout import (
-    NEW_VERSION,
-    OLD_VERSION,
-    ORDER_AT_S,
-    Defect,
-    Disturbance,
-    RolloutScenario,
-    Route,
-)
 from hibiscusstep.load.emulated_target import (
     CALLER_TIMEOUT_S,
     PROMPT_TOKENS,
@@ -29,6 +20,15 @@
     EmulatedTarget,
 )
 from hibiscusstep.load.rollout_result import TOLERATED_BAD_ANSWERS, RolloutResult
+from hibiscusstep.load.rollout_scenario import (
+    NEW_VERSION,
+    OLD_VERSION,
+    ORDER_AT_S,
+    Defect,
+    Disturbance,
+    RolloutScenario,
+    Route,
+)
 from hibiscusstep.rollout.budget import ExposureLimits
 from hibiscusstep.rollout.order import RolloutOrder, RolloutState
 from hibiscusstep.routing import messages as m
--- a/hibiscusstep/load/rollout_report.py
+++ b/hibiscusstep/load/rollout_report.py
@@ -3,9 +3,9 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from hibiscusstep.load.drawn_rollout import draw_scenario
 from hibiscusstep.load.rollout_emulator import RolloutEmulator
 from hibiscusstep.load.rollout_result import RolloutResult
+from hibiscusstep.load.rollout_scenario import draw_scenario
 from hibiscusstep.rollout.order import RolloutState
 
 __all__ = ["rollout_table_lines", "run_rollout"]
--- a/hibiscusstep/load/drawn_rollout.py
+++ b/hibiscusstep/load/rollout_scenario.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.load.drawn_rollout: randomly drawn scenarios of rollout orders."""
+"""hibiscusstep.load.rollout_scenario: randomly drawn scenarios of rollout orders."""
 
 import enum
 from dataclasses import dataclass
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -23,9 +23,7 @@
 
 sys.path[:0] = [str(Path(__file__).parent.parent / "examples")]
 
-from soak_ledger import ROLLBACK_S, CallerResult, Ledger  # noqa: E402
-from soak_proxy import Mode  # noqa: E402
-from soak_world import (  # noqa: E402
+from soak_environment import (  # noqa: E402
     CRASH_FIELD,
     LEAVING_FIELD,
     POOL,
@@ -33,6 +31,8 @@
     START_FIELD,
     SoakEnvironment,
 )
+from soak_ledger import ROLLBACK_S, CallerResult, Ledger  # noqa: E402
+from soak_proxy import Mode  # noqa: E402
 
 KINDS = ("safe", "once", "resume", "stream")
 CUSTOMERS = {"key-one": "one", "key-uno": "one", "key-two": "two", "key-none": ""}
--- a/tests/test_emulated_target.py
+++ b/tests/test_emulated_target.py
@@ -5,7 +5,8 @@
 import numpy as np
 import pytest
 
-from hibiscusstep.load.drawn_rollout import (
+from hibiscusstep.load.emulated_target import CALLER_TIMEOUT_S, EmulatedTarget
+from hibiscusstep.load.rollout_scenario import (
     NEW_VERSION,
     OLD_VERSION,
     ORDER_AT_S,
@@ -14,7 +15,6 @@
     Route,
     draw_scenario,
 )
-from hibiscusstep.load.emulated_target import CALLER_TIMEOUT_S, EmulatedTarget
 from hibiscusstep.routing import messages as m
 
 ROUTE = Route("r0", 1.0, 0.1, 0.0, 0.0)
--- a/tests/test_account.py
+++ b/tests/test_log_analysis.py
@@ -1,4 +1,4 @@
-"""Tests of hibiscusstep.load.account."""
+"""Tests of hibiscusstep.load.log_analysis."""
 
 import json
 
@@ -6,7 +6,7 @@
 from click.testing import CliRunner
 
 from hibiscusstep.cmdline.load import main
-from hibiscusstep.load.account import (
+from hibiscusstep.load.log_analysis import (
     AttemptResult,
     LogAnalysis,
     _LogProcessor,
--- a/tests/test_pool_emulator.py
+++ b/tests/test_pool_emulator.py
@@ -8,7 +8,7 @@
 from click.testing import CliRunner
 
 from hibiscusstep.cmdline.load import main
-from hibiscusstep.load.deployment import (
+from hibiscusstep.load.drawn_deployment import (
     Burst,
     DrawnDeployment,
     InstanceLoss,
--- a/tests/test_rollout_emulator.py
+++ b/tests/test_rollout_emulator.py
@@ -4,8 +4,8 @@
 from click.testing import CliRunner
 
 from hibiscusstep.cmdline.load import main
-from hibiscusstep.load.drawn_rollout import draw_scenario
 from hibiscusstep.load.rollout_report import rollout_table_lines, run_rollout
+from hibiscusstep.load.rollout_scenario import draw_scenario
 from hibiscusstep.rollout.order import RolloutState
 
 
--- a/tests/test_short_requests_in_overload.py
+++ b/tests/test_short_requests_in_overload.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from hibiscusstep.load.deployment import Burst, DrawnDeployment, RequestKind
+from hibiscusstep.load.drawn_deployment import Burst, DrawnDeployment, RequestKind
 from hibiscusstep.load.pool_emulator import PoolEmulator
 from hibiscusstep.routing.rank_floor import RankFloor
 from hibiscusstep.routing.switches import ALL_ENABLED, Switches
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,8 +7,8 @@
 import aiohttp
 import pytest
 from soak import Faults, soak
+from soak_environment import SoakEnvironment
 from soak_ledger import CallerResult, Ledger, TargetRun, body_of, events
-from soak_world import SoakEnvironment
 
 # Seeds that broke a promise once, with the cause.
 REGRESSIONS = [
