--- a/examples/slopes.py
+++ b/examples/slopes.py
@@ -355,19 +355,19 @@
         data = pool_configuration(9)
         version = await _put(platform, data, 0)
         ports = free_ports(3 * count)
-        entries = [
+        instances = [
             Instance(_settings(n, ports[3 * n : 3 * n + 3], ports[2]), platform)
             for n in range(count)
         ]
-        tasks = [asyncio.create_task(entry.run()) for entry in entries]
-        await _wait_in_force(entries, version)
+        tasks = [asyncio.create_task(instance.run()) for instance in instances]
+        await _wait_in_force(instances, version)
         await asyncio.sleep(3.0)
         seconds, calls = [], sum(platform.calls.values())
         for number in range(changes):
             data["tiers"]["low"]["rank"] = 10 + number
             started = time.monotonic()
             version = await _put(platform, data, version)
-            await _wait_in_force(entries, version)
+            await _wait_in_force(instances, version)
             seconds.append(time.monotonic() - started)
         calls = (sum(platform.calls.values()) - calls) / changes
         seconds.sort()
@@ -382,8 +382,8 @@
     return (await platform.put(CONFIGURATION_KEY, value, version)).unwrap()
 
 
-async def _wait_in_force(entries, version):
-    while any(entry.in_force.version != version for entry in entries):
+async def _wait_in_force(instances, version):
+    while any(instance.in_force.version != version for instance in instances):
         await asyncio.sleep(0.01)
 
 
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -26,7 +26,7 @@
 SERVICE, ENGINE = "service", "engine"
 
 
-async def until(condition, bound=BOUND_S):
+async def wait_until(condition, bound=BOUND_S):
     """Wait until a condition is true; fail after `bound` seconds."""
     async with asyncio.timeout(bound):
         while not condition():
@@ -124,7 +124,7 @@
     def __init__(self, folder, instances=3, services=2, engines=0, **options):
         self.folder = folder
         self.platform = MemoryPlatform()
-        self.entries, self.tasks, self.urls = {}, {}, {}
+        self.instances, self.tasks, self.urls = {}, {}, {}
         self.targets, self.apps, self._runners = {}, {}, []
         self.killed = []
         self._background = []
@@ -149,7 +149,7 @@
         ]
         for name in self._names:
             await self.start(name)
-        await self.settled()
+        await self.wait_settled()
         return self
 
     async def __aexit__(self, *_exc):
@@ -194,7 +194,7 @@
         """Stop a target: its connections break and new ones are refused."""
         await self._runner_by_target.pop(name).cleanup()
 
-    async def revive_target(self, name):
+    async def restart_target(self, name):
         """Restart a target at its address if it is stopped."""
         if name not in self._runner_by_target:
             self.apps[name] = self._make_app(name)
@@ -216,16 +216,16 @@
                 return await self.apply(files)
             await asyncio.sleep(0.1)
 
-    def background(self, coroutine):
-        """Run a coroutine concurrently; `background_done` waits for it."""
+    def run_in_background(self, coroutine):
+        """Run a coroutine concurrently; `wait_background` waits for it."""
         self._background.append(asyncio.create_task(coroutine))
 
-    async def background_done(self):
+    async def wait_background(self):
         """Bring the platform up and wait for the background coroutines."""
         self.platform.faults.down = False
         await asyncio.gather(*self._background)
 
-    def mark(self, kind, **fields):
+    def record_event(self, kind, **fields):
         """Record an event of the test in the history."""
         self._recorder.record(kind, **fields)
 
@@ -250,59 +250,61 @@
 
     async def start(self, name):
         """Start or restart an instance."""
-        entry = Instance(self.settings(name), self.platform)
-        self.entries[name] = entry
-        self.tasks[name] = asyncio.create_task(entry.run())
-        self.urls[name] = f"http://{entry._settings.caller_address}"
-        await entry.started.wait()
+        instance = Instance(self.settings(name), self.platform)
+        self.instances[name] = instance
+        self.tasks[name] = asyncio.create_task(instance.run())
+        self.urls[name] = f"http://{instance._settings.caller_address}"
+        await instance.started.wait()
 
     async def kill(self, name):
         """Stop an instance as SIGKILL does: at once and without notice."""
         self.killed.append(name)
-        entry, task = self.entries.pop(name), self.tasks.pop(name)
-        entry._caller_server.drain()
-        entry.cut("killed by the test")
+        instance, task = self.instances.pop(name), self.tasks.pop(name)
+        instance._caller_server.drain()
+        instance.cut("killed by the test")
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
     async def drain(self, name):
         """Stop an instance as SIGTERM does."""
-        entry = self.entries[name]
-        await entry.drain()
-        if self.entries.get(name) is not entry:
+        instance = self.instances[name]
+        await instance.drain()
+        if self.instances.get(name) is not instance:
             return
-        self.entries.pop(name)
+        self.instances.pop(name)
         task = self.tasks.pop(name)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    def cut(self, *sides):
+    def cut_links(self, *sides):
         """Cut the peer links between groups of instances."""
         for side in sides:
             others = [n for other in sides if other is not side for n in other]
             for name in side:
-                self.entries[name].links.block(
+                self.instances[name].links.block(
                     {f"127.0.0.1:{self._ports[other][2]}" for other in others}
                 )
 
-    def heal(self):
+    def restore_links(self):
         """Restore all peer links."""
-        for entry in self.entries.values():
-            entry.links.block(set())
+        for instance in self.instances.values():
+            instance.links.block(set())
 
-    async def settled(self):
+    async def wait_settled(self):
         """Wait until all instances know each other and every pool has a dispatcher."""
-        names = set(self.entries)
-        await until(lambda: all(set(e.view.members) == names for e in self._live()))
-        await until(lambda: all(e.ready for e in self._live()))
-        await until(self._all_pools_dispatched)
+        names = set(self.instances)
+        await wait_until(
+            lambda: all(set(e.view.members) == names for e in self._live())
+        )
+        await wait_until(lambda: all(e.ready for e in self._live()))
+        await wait_until(self._all_pools_dispatched)
 
     def dispatcher(self, pool):
         """Return the name of the instance that is the dispatcher of a pool."""
         return self._live()[0].view.dispatcher_of(pool)
 
     def _live(self):
-        return list(self.entries.values())
+        return list(self.instances.values())
 
     def _all_pools_dispatched(self):
         live = self._live()
@@ -364,13 +366,13 @@
     def on_event(self, kind, action, names=None):
         """Call an action once, at the first event of a kind on any of the instances."""
         fired = asyncio.Event()
-        for name in names or self.entries:
-            self._wrap_recorder(self.entries[name], kind, action, fired)
+        for name in names or self.instances:
+            self._wrap_recorder(self.instances[name], kind, action, fired)
         return fired
 
     @staticmethod
-    def _wrap_recorder(entry, kind, action, fired):
-        record = entry._recorder.record
+    def _wrap_recorder(instance, kind, action, fired):
+        record = instance._recorder.record
 
         def record_and_check(event_kind, **fields):
             record(event_kind, **fields)
@@ -378,9 +380,9 @@
                 fired.set()
                 action()
 
-        entry._recorder.record = record_and_check
+        instance._recorder.record = record_and_check
 
-    def on_put(self, part, action):
+    def before_put(self, part, action):
         """Call an action once, before the first write of a key that contains `part`."""
         fired = asyncio.Event()
 
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -5,7 +5,7 @@
 import itertools
 from dataclasses import dataclass
 
-from cluster import ENGINE, SERVICE, Cluster, configuration, until
+from cluster import ENGINE, SERVICE, Cluster, configuration, wait_until
 
 from hibiscusstep.claims.records import shard_of
 from hibiscusstep.events import EventKind
@@ -50,25 +50,25 @@
 
 async def kill_dispatcher(cluster):
     name = cluster.dispatcher(SERVICE)
-    if name in cluster.entries:
+    if name in cluster.instances:
         await cluster.kill(name)
 
 
 async def kill_claim_writer(cluster):
     shard = shard_of(digest(), 2)
-    name = next(iter(cluster.entries.values())).view.claim_writer_of(shard)
-    if name in cluster.entries:
+    name = next(iter(cluster.instances.values())).view.claim_writer_of(shard)
+    if name in cluster.instances:
         await cluster.kill(name)
 
 
 async def cut_holder(cluster):
-    others = [name for name in cluster.entries if name != HOLDER]
-    if HOLDER in cluster.entries and others:
-        cluster.cut([HOLDER], others)
+    others = [name for name in cluster.instances if name != HOLDER]
+    if HOLDER in cluster.instances and others:
+        cluster.cut_links([HOLDER], others)
 
 
 async def drain_holder(cluster):
-    if HOLDER in cluster.entries:
+    if HOLDER in cluster.instances:
         await cluster.drain(HOLDER)
 
 
@@ -187,7 +187,7 @@
         await restore_all(cluster)
         await asyncio.gather(*background_reads)
         await check_recovery(cluster, cell.kind)
-        await until(
+        await wait_until(
             lambda: not any(e._caller_server.open_requests for e in cluster._live())
         )
         cluster.check()
@@ -213,12 +213,12 @@
     elif isinstance(trigger, EventKind):
         cluster.on_event(trigger, inject, holder)
     else:
-        cluster.on_put(trigger, inject)
+        cluster.before_put(trigger, inject)
 
 
 async def inject_once_served(cluster, inject):
     served = EventKind.SERVED
-    await until(
+    await wait_until(
         lambda: any(e.request.startswith(HOLDER) for e in cluster.events(served))
     )
     inject()
@@ -228,26 +228,26 @@
     """Trigger a step that the request itself does not reach."""
     if step.startswith("configuration"):
         files = configuration(cluster.targets, deadline=7.0, timeout=0.8)
-        cluster.background(cluster.apply_until_known(files))
+        cluster.run_in_background(cluster.apply_until_known(files))
     elif step == "shutdown asked":
-        cluster.background(cluster.drain("e2"))
+        cluster.run_in_background(cluster.drain("e2"))
 
 
 async def restore_all(cluster):
     """End all faults and restart killed or drained instances."""
-    await cluster.background_done()
+    await cluster.wait_background()
     cluster.platform.faults.down = False
     cluster.platform.faults.delay = 0.0
     cluster.platform.faults.lose_answers = 0
-    cluster.heal()
+    cluster.restore_links()
     for kind in (SERVICE, ENGINE):
-        await cluster.revive_target(f"{kind}-0")
+        await cluster.restart_target(f"{kind}-0")
     await cluster.control("service-0", leaving=False, duration=0.05)
     await cluster.control("engine-0", leaving=False, dead=False, slow=1.0)
     for name in ("e0", "e1", "e2"):
-        if name not in cluster.entries:
+        if name not in cluster.instances:
             await cluster.start(name)
-    await cluster.settled()
+    await cluster.wait_settled()
 
 
 async def check_recovery(cluster, kind):
@@ -255,7 +255,7 @@
     async with asyncio.timeout(20):
         while (await send(cluster, kind, "e1")).outcome == "not run":
             await asyncio.sleep(0.1)
-        for name in cluster.entries:
+        for name in cluster.instances:
             while (await cluster.call(name, "/read")).outcome != "whole":
                 await asyncio.sleep(0.1)
             while (await cluster.call(name, key=f"after-{name}")).outcome != "whole":
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from cluster import Cluster, until
+from cluster import Cluster, wait_until
 
 from hibiscusstep.events import EventKind
 
@@ -42,9 +42,9 @@
     async def test_after_the_holder_was_killed(self, folder):
         async with Cluster(folder, duration=5.0) as cluster:
             first = asyncio.create_task(cluster.call("e0", key="bib-2"))
-            await until(lambda: cluster.events(EventKind.SERVED))
+            await wait_until(lambda: cluster.events(EventKind.SERVED))
             await cluster.kill("e0")
-            await cluster.settled()
+            await cluster.wait_settled()
             reply = await cluster.call("e1", key="bib-2")
             assert reply.outcome == "outcome unknown"
             assert (await first).outcome == "broken"
@@ -54,7 +54,7 @@
     async def test_after_the_first_caller_disconnected(self, folder):
         async with Cluster(folder, duration=0.4) as cluster:
             first = asyncio.create_task(cluster.call("e0", key="bib-3"))
-            await until(lambda: cluster.events(EventKind.SERVED))
+            await wait_until(lambda: cluster.events(EventKind.SERVED))
             first.cancel()
             reply = await cluster.call("e1", key="bib-3")
             assert reply.outcome == "whole"
@@ -65,7 +65,7 @@
     async def test_a_broken_target_gives_outcome_unknown_without_repeat(self, folder):
         async with Cluster(folder, duration=5.0, services=1) as cluster:
             first = asyncio.create_task(cluster.call("e0", key="bib-4"))
-            await until(lambda: cluster.events(EventKind.SERVED))
+            await wait_until(lambda: cluster.events(EventKind.SERVED))
             for runner in cluster._runners:
                 await runner.cleanup()
             assert (await first).outcome == "outcome unknown"
@@ -116,11 +116,13 @@
 class TestPartition:
     async def test_the_two_sides_do_not_both_dispatch(self, folder):
         async with Cluster(folder, instances=4, duration=0.1, timeout=2.0) as cluster:
-            cluster.cut(["e0", "e1"], ["e2", "e3"])
-            await until(lambda: all(len(e.view.members) == 2 for e in cluster._live()))
-            await until(
+            cluster.cut_links(["e0", "e1"], ["e2", "e3"])
+            await wait_until(
+                lambda: all(len(e.view.members) == 2 for e in cluster._live())
+            )
+            await wait_until(
                 lambda: all(
-                    cluster.entries[e.view.dispatcher_of("service")]
+                    cluster.instances[e.view.dispatcher_of("service")]
                     ._dispatcher_host.status("service")
                     .get("recovered")
                     for e in cluster._live()
--- a/tests/test_configuration_spread.py
+++ b/tests/test_configuration_spread.py
@@ -2,14 +2,14 @@
 
 import asyncio
 
-from cluster import Cluster, configuration, until
+from cluster import Cluster, configuration, wait_until
 
 from hibiscusstep.configuration.stored import StoredConfiguration
 from hibiscusstep.events import EventKind
 
 
 def versions_in_force(cluster):
-    return {entry.in_force.version for entry in cluster._live()}
+    return {instance.in_force.version for instance in cluster._live()}
 
 
 class TestDistribution:
@@ -17,11 +17,11 @@
         async with Cluster(tmp_path, instances=6) as cluster:
             before = cluster.platform.calls["watch"]
             version = await cluster.apply(configuration(cluster.targets, deadline=7))
-            await until(lambda: versions_in_force(cluster) == {version})
+            await wait_until(lambda: versions_in_force(cluster) == {version})
             waiting = sum(
-                entry._configuration_updater._watch is not None
-                and not entry._configuration_updater._watch.done()
-                for entry in cluster._live()
+                instance._configuration_updater._watch is not None
+                and not instance._configuration_updater._watch.done()
+                for instance in cluster._live()
             )
             assert waiting == 2
             assert cluster.platform.calls["watch"] - before <= 8
@@ -30,12 +30,12 @@
     async def test_a_restart_in_an_outage_gets_the_version_of_a_peer(self, tmp_path):
         async with Cluster(tmp_path) as cluster:
             version = await cluster.apply(configuration(cluster.targets, deadline=7))
-            await until(lambda: versions_in_force(cluster) == {version})
+            await wait_until(lambda: versions_in_force(cluster) == {version})
             cluster.platform.faults.down = True
             await cluster.kill("e0")
             await cluster.start("e0")
-            assert not cluster.entries["e0"].ready
-            await until(lambda: versions_in_force(cluster) == {version})
+            assert not cluster.instances["e0"].ready
+            await wait_until(lambda: versions_in_force(cluster) == {version})
             assert (await cluster.call("e0", "/read")).outcome == "whole"
             cluster.check()
 
@@ -43,13 +43,13 @@
         self, tmp_path
     ):
         async with Cluster(tmp_path, instances=4) as cluster:
-            cluster.cut(["e0"], ["e1", "e2", "e3"])
+            cluster.cut_links(["e0"], ["e1", "e2", "e3"])
             newest = 0
             for deadline in (6, 7, 8):
                 files = configuration(cluster.targets, deadline=deadline)
                 newest = await cluster.apply(files)
-            cluster.heal()
-            await until(lambda: versions_in_force(cluster) == {newest})
+            cluster.restore_links()
+            await wait_until(lambda: versions_in_force(cluster) == {newest})
             cluster.check()
 
     async def test_an_invalid_one_is_rejected_and_the_old_stays_in_force(
@@ -58,8 +58,8 @@
         async with Cluster(tmp_path) as cluster:
             before = versions_in_force(cluster)
             await cluster.apply({"bad.json": '{"tiers": 7}'})
-            keepers = [entry._configuration_updater for entry in cluster._live()]
-            await until(lambda: sum(bool(k._rejected) for k in keepers) == 2)
+            keepers = [instance._configuration_updater for instance in cluster._live()]
+            await wait_until(lambda: sum(bool(k._rejected) for k in keepers) == 2)
             assert versions_in_force(cluster) == before
             assert (await cluster.call("e0", "/read")).outcome == "whole"
 
@@ -71,7 +71,7 @@
             reply = await cluster.call("e0", "/read")
             assert reply.status == 503 and reply.outcome == "not run"
             cluster.platform.faults.down = False
-            await until(lambda: cluster.entries["e0"].ready)
+            await wait_until(lambda: cluster.instances["e0"].ready)
 
     async def test_the_change_is_recorded(self, tmp_path):
         async with Cluster(tmp_path) as cluster:
@@ -92,8 +92,8 @@
         async with Cluster(tmp_path) as cluster:
             before = versions_in_force(cluster)
             await cluster.apply(configuration(cluster.targets, shards=3))
-            keepers = [entry._configuration_updater for entry in cluster._live()]
-            await until(lambda: sum(bool(k._rejected) for k in keepers) == 2)
+            keepers = [instance._configuration_updater for instance in cluster._live()]
+            await wait_until(lambda: sum(bool(k._rejected) for k in keepers) == 2)
             assert versions_in_force(cluster) == before
 
 
@@ -110,5 +110,5 @@
                         await asyncio.sleep(0.01)
 
             written = await asyncio.gather(*(write(n) for n in range(2, 8)))
-            await until(lambda: versions_in_force(cluster) == {max(written)})
+            await wait_until(lambda: versions_in_force(cluster) == {max(written)})
             cluster.check()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from cluster import Cluster, configuration, until
+from cluster import Cluster, configuration, wait_until
 
 from hibiscusstep.events import EventKind
 
@@ -11,7 +11,7 @@
 async def keep_calling(cluster, stop, replies, **options):
     """Call through all instances until `stop` is set."""
     while not stop.is_set():
-        for name in list(cluster.entries):
+        for name in list(cluster.instances):
             replies.append(await cluster.call(name, "/read", **options))
 
 
@@ -21,8 +21,8 @@
         async with Cluster(tmp_path) as cluster:
             stop, replies = asyncio.Event(), []
             caller = asyncio.create_task(keep_calling(cluster, stop, replies))
-            await until(lambda: len(replies) > 20)
-            cluster.mark(EventKind.TARGET_LEAVING, target="service-0")
+            await wait_until(lambda: len(replies) > 20)
+            cluster.record_event(EventKind.TARGET_LEAVING, target="service-0")
             if how == "operator's mark":
                 files = configuration(cluster.targets)
                 await cluster.apply(files, drained=["service-0"])
@@ -31,7 +31,7 @@
             # The bound within which a leaving target must be avoided.
             await asyncio.sleep(3.2)
             seen = len(replies)
-            await until(lambda: len(replies) > seen + 30)
+            await wait_until(lambda: len(replies) > seen + 30)
             stop.set()
             await caller
             assert {reply.outcome for reply in replies} == {"whole"}
@@ -55,7 +55,7 @@
                 for n in range(8)
                 for name in cluster.urls
             ]
-            await until(lambda: len(cluster.events(EventKind.RECEIVED)) == 24)
+            await wait_until(lambda: len(cluster.events(EventKind.RECEIVED)) == 24)
             await cluster.drain("e1")
             assert {r.outcome for r in await asyncio.gather(*tasks)} == {"whole"}
             cluster.check()
@@ -65,9 +65,9 @@
             tasks = [
                 asyncio.create_task(cluster.call("e1", "/read")) for _ in range(12)
             ]
-            await until(lambda: len(cluster.events(EventKind.RECEIVED)) == 12)
+            await wait_until(lambda: len(cluster.events(EventKind.RECEIVED)) == 12)
             cluster.platform.faults.down = True
-            cluster.cut(["e1"], ["e0", "e2"])
+            cluster.cut_links(["e1"], ["e0", "e2"])
             await cluster.drain("e1")
             assert {r.outcome for r in await asyncio.gather(*tasks)} == {"whole"}
             cluster.check()
@@ -75,11 +75,11 @@
     async def test_new_requests_are_refused_as_not_run(self, tmp_path):
         async with Cluster(tmp_path, duration=1.0) as cluster:
             running = asyncio.create_task(cluster.call("e1"))
-            await until(lambda: cluster.events(EventKind.SERVED))
-            entry = cluster.entries["e1"]
-            draining = asyncio.create_task(entry.drain())
-            await until(lambda: entry._caller_server._draining)
-            assert not entry.ready
+            await wait_until(lambda: cluster.events(EventKind.SERVED))
+            instance = cluster.instances["e1"]
+            draining = asyncio.create_task(instance.drain())
+            await wait_until(lambda: instance._caller_server._draining)
+            assert not instance.ready
             late = await cluster.call("e1")
             assert late.status == 503 and late.outcome == "not run"
             assert (await running).outcome == "whole"
--- a/tests/test_mechanisms_off.py
+++ b/tests/test_mechanisms_off.py
@@ -10,7 +10,7 @@
 
 import aiohttp
 import pytest
-from cluster import Cluster, configuration, until
+from cluster import Cluster, configuration, wait_until
 
 from hibiscusstep.caller_server import CallerServer
 from hibiscusstep.configuration.in_force import ConfigurationInForce
@@ -32,7 +32,7 @@
     async def test_marks_of_leaving_targets(self, tmp_path, monkeypatch):
         monkeypatch.setattr(TargetEstimate, "usable", lambda self, now: True)
         async with Cluster(tmp_path) as cluster:
-            cluster.mark(EventKind.TARGET_LEAVING, target="service-0")
+            cluster.record_event(EventKind.TARGET_LEAVING, target="service-0")
             files = configuration(cluster.targets)
             await cluster.apply(files, drained=["service-0"])
             await asyncio.sleep(3.1)  # the bound of the promise
@@ -41,13 +41,13 @@
             assert "leaving target" in promises(cluster)
 
     async def test_waiting_for_open_answers_at_a_shutdown(self, tmp_path, monkeypatch):
-        async def at_once(_border):
+        async def at_once(_delivery):
             return None
 
         monkeypatch.setattr(CallerServer, "wait_idle", at_once)
         async with Cluster(tmp_path, duration=2.0) as cluster:
             call = asyncio.create_task(cluster.call("e1", "/read"))
-            await until(lambda: cluster.events(EventKind.SERVED))
+            await wait_until(lambda: cluster.events(EventKind.SERVED))
             await cluster.drain("e1")
             call.cancel()
             assert "graceful shutdown" in promises(cluster)
@@ -61,18 +61,18 @@
             keeper._publish(loaded)
 
         async with Cluster(tmp_path) as cluster:
-            old = cluster.entries["e0"].in_force
+            old = cluster.instances["e0"].in_force
             newer = await cluster.apply(configuration(cluster.targets, deadline=7))
-            await until(
+            await wait_until(
                 lambda: all(e.in_force.version == newer for e in cluster._live())
             )
             monkeypatch.setattr(
                 ConfigurationUpdater, "_apply_version", accept_any_version
             )
-            cluster.entries["e0"]._configuration_updater.tell(
+            cluster.instances["e0"]._configuration_updater.tell(
                 _Seen(old.version, old.value)
             )
-            await until(lambda: "configuration" in promises(cluster))
+            await wait_until(lambda: "configuration" in promises(cluster))
 
     async def test_looking_a_key_up_before_the_queue(self, tmp_path):
         settings = {"claims_enabled": False}
@@ -82,7 +82,7 @@
             assert (await cluster.call("e0", key="bib")).outcome == "whole"
             await cluster.control("service-0", duration=3.0)
             busy = asyncio.create_task(cluster.call("e1", "/read"))
-            await until(lambda: len(cluster.events(EventKind.SERVED)) == 2)
+            await wait_until(lambda: len(cluster.events(EventKind.SERVED)) == 2)
             assert (await cluster.call("e2", key="bib")).outcome == "not run"
             assert "not run" in promises(cluster)
             busy.cancel()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,7 +1,7 @@
 import asyncio
 
 import pytest
-from cluster import Cluster, until
+from cluster import Cluster, wait_until
 from fleet import free_ports
 from hypothesis import given
 from hypothesis import strategies as st
@@ -112,7 +112,7 @@
             for address, key in zip(addresses, keys, strict=True)
         ]
         tasks = [asyncio.create_task(link.run()) for link in links]
-        await until(lambda: all(link._server for link in links))
+        await wait_until(lambda: all(link._server for link in links))
         links[2].tell(Send(addresses[0], peer.NotDispatcher("forged")))
         links[1].tell(Send(addresses[0], peer.NotDispatcher("good")))
         delivered = await asyncio.wait_for(received.get(), 10)
@@ -129,15 +129,17 @@
         async with Cluster(tmp_path, instances=5) as cluster:
             cluster.platform.faults.down = True
             await cluster.kill("e3")
-            await cluster.settled()
+            await cluster.wait_settled()
             await cluster.start("e3")
-            await cluster.settled()
-            assert len(cluster.entries["e3"].view.members) == 5
+            await cluster.wait_settled()
+            assert len(cluster.instances["e3"].view.members) == 5
 
     @pytest.mark.parametrize("frames", [b"", b"x" * 16, b"x" * 16 + b"\xff" * 64])
     async def test_invalid_data_on_the_peer_port_is_ignored(self, tmp_path, frames):
         async with Cluster(tmp_path, instances=2) as cluster:
-            host, _, port = cluster.entries["e0"]._settings.peer_address.rpartition(":")
+            host, _, port = cluster.instances["e0"]._settings.peer_address.rpartition(
+                ":"
+            )
             _reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(frames)
             writer.close()
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -1,6 +1,6 @@
 import asyncio
 
-from cluster import Cluster, until
+from cluster import Cluster, wait_until
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -27,7 +27,7 @@
             tmp_path, services=0, engines=2, settings=settings
         ) as cluster:
             task = asyncio.create_task(cluster.chat("e0", "why?", tokens=60))
-            await until(lambda: cluster.events(EventKind.FIRST_TOKEN))
+            await wait_until(lambda: cluster.events(EventKind.FIRST_TOKEN))
             target = cluster.events(EventKind.DISPATCHED)[0].target
             await cluster.control(target, dead=True)
             assert (await task).outcome == "failed"
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -4,7 +4,7 @@
 import json
 
 import pytest
-from cluster import KEY, Cluster, configuration, until
+from cluster import KEY, Cluster, configuration, wait_until
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -69,7 +69,7 @@
     async def test_another_target_continues_after_an_engine_dies(self, tmp_path):
         async with engine_cluster(tmp_path) as cluster:
             task = asyncio.create_task(cluster.chat("e0", "why?", tokens=30))
-            await until(lambda: cluster.events(EventKind.FIRST_TOKEN))
+            await wait_until(lambda: cluster.events(EventKind.FIRST_TOKEN))
             target = cluster.events(EventKind.DISPATCHED)[0].target
             await cluster.control(target, dead=True)
             reply = await task
@@ -79,7 +79,7 @@
     async def test_a_stream_fails_when_all_engines_die(self, tmp_path):
         async with engine_cluster(tmp_path, deadline=1.5) as cluster:
             task = asyncio.create_task(cluster.chat("e0", "why?", tokens=100))
-            await until(lambda: cluster.events(EventKind.FIRST_TOKEN))
+            await wait_until(lambda: cluster.events(EventKind.FIRST_TOKEN))
             for name in cluster.targets:
                 await cluster.control(name, dead=True)
             reply = await task
@@ -124,12 +124,12 @@
                 asyncio.create_task(cluster.chat("e0", f"{n}", tokens=150))
                 for n in range(2)
             ]
-            await until(lambda: len(cluster.events(EventKind.DISPATCHED)) == 2)
+            await wait_until(lambda: len(cluster.events(EventKind.DISPATCHED)) == 2)
             waiting = asyncio.create_task(cluster.chat("e1", "leaves", tokens=5))
-            await until(lambda: len(cluster.events(EventKind.QUEUED)) == 3)
+            await wait_until(lambda: len(cluster.events(EventKind.QUEUED)) == 3)
             waiting.cancel()
             await asyncio.gather(*running)
-            await until(lambda: len(cluster.events(EventKind.REFUSED)) == 1)
+            await wait_until(lambda: len(cluster.events(EventKind.REFUSED)) == 1)
             assert len(cluster.events(EventKind.DISPATCHED)) == 2
             cluster.check()
 
@@ -151,7 +151,7 @@
             port = server.sockets[0].getsockname()[1]
             files = configuration({"service-0": f"127.0.0.1:{port}"})
             version = await cluster.apply(files)
-            await until(
+            await wait_until(
                 lambda: all(e.in_force.version == version for e in cluster._live())
             )
             async with cluster.session.request(
@@ -232,7 +232,7 @@
             tmp_path, instances=1, settings=settings, duration=0.5
         ) as cluster:
             first = asyncio.create_task(cluster.call("e0"))
-            await until(lambda: cluster.events(EventKind.SERVED))
+            await wait_until(lambda: cluster.events(EventKind.SERVED))
             second = await cluster.call("e0")
             assert second.status == 503 and second.outcome == "not run"
             assert (await first).outcome == "whole"
@@ -251,7 +251,9 @@
             await self.send_raw(cluster, head, end=True)
             reply = await cluster.call("e0", key="half")
             assert reply.outcome in ("whole", "not run")
-            await until(lambda: not cluster.entries["e0"]._caller_server.open_requests)
+            await wait_until(
+                lambda: not cluster.instances["e0"]._caller_server.open_requests
+            )
             cluster.check()
 
     async def test_customers_do_not_see_each_other(self, tmp_path):
@@ -264,7 +266,7 @@
 
     async def test_operator_endpoints_require_the_operator_key(self, tmp_path):
         async with Cluster(tmp_path, instances=1) as cluster:
-            address = cluster.entries["e0"]._settings.operator_address
+            address = cluster.instances["e0"]._settings.operator_address
             for path, status in (
                 ("/health", 200),
                 ("/ready", 200),
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from cluster import Cluster, until
+from cluster import Cluster, wait_until
 
 from hibiscusstep.events import EventKind
 
@@ -58,7 +58,7 @@
     async def test_running_lower_tier_is_stopped(self, tmp_path):
         async with small_cluster(tmp_path) as cluster:
             low = await overload(cluster, ["low"], each=2, tokens=400)
-            await until(lambda: len(cluster.events(EventKind.DISPATCHED)) >= 4)
+            await wait_until(lambda: len(cluster.events(EventKind.DISPATCHED)) >= 4)
             high = await overload(cluster, ["high"], each=1, tokens=4)
             assert {r.outcome for r in await asyncio.gather(*high)} == {"whole"}
             outcomes = [reply.outcome for reply in await asyncio.gather(*low)]
@@ -71,7 +71,7 @@
     async def test_kill_during_overload(self, tmp_path):
         async with small_cluster(tmp_path, instances=4, deadline=3.0) as cluster:
             tasks = await overload(cluster, each=6, tokens=30)
-            await until(lambda: len(cluster.events(EventKind.COMPLETED)) >= 2)
+            await wait_until(lambda: len(cluster.events(EventKind.COMPLETED)) >= 2)
             await cluster.kill(cluster.dispatcher("engine"))
             replies = await asyncio.gather(*tasks)
             assert [r for r in replies if r.outcome == "whole"]
@@ -80,7 +80,7 @@
     async def test_drain_during_overload_breaks_no_answer(self, tmp_path):
         async with small_cluster(tmp_path, instances=4, deadline=5.0) as cluster:
             tasks = await overload(cluster, each=3, tokens=20)
-            await until(lambda: len(cluster.events(EventKind.COMPLETED)) >= 2)
+            await wait_until(lambda: len(cluster.events(EventKind.COMPLETED)) >= 2)
             await cluster.drain(cluster.dispatcher("engine"))
             replies = await asyncio.gather(*tasks)
             assert {reply.outcome for reply in replies} <= {"whole", "not run"}
@@ -90,10 +90,10 @@
     async def test_network_partition(self, tmp_path, heal):
         async with small_cluster(tmp_path, instances=4, deadline=3.0) as cluster:
             tasks = await overload(cluster, each=3, tokens=30)
-            cluster.cut(["e0", "e1"], ["e2", "e3"])
+            cluster.cut_links(["e0", "e1"], ["e2", "e3"])
             if heal:
-                await until(lambda: len(cluster._live()[0].view.members) == 2)
-                cluster.heal()
+                await wait_until(lambda: len(cluster._live()[0].view.members) == 2)
+                cluster.restore_links()
             replies = await asyncio.gather(*tasks)
             assert "whole" in {reply.outcome for reply in replies}
             cluster.check()
