--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -31,7 +31,7 @@
         Kinds of objects for which every call is answered with 503.
     calls : list of str
         Method and path of each call.
-    spoil : tuple of bytes or None
+    answer_replacement : tuple of bytes or None
         Bytes to replace in answers, and their replacement.
     era : str or None
         Value of the Store-Era field of all answers; each restore increments it.
@@ -45,7 +45,7 @@
         self.down = False
         self.refused: set[str] = set()
         self.calls: list[str] = []
-        self.spoil: tuple[bytes, bytes] | None = None
+        self.answer_replacement: tuple[bytes, bytes] | None = None
         self.era: str | None = "1"
         self._changed = asyncio.Event()
         self._stopped = False
@@ -90,7 +90,7 @@
         self.objects[kind, name] = item
         self._append_event(kind, False, item)
 
-    def order(self, pool: str, version: str, seconds: float) -> None:
+    def order_rollout(self, pool: str, version: str, seconds: float) -> None:
         """Write an operator's rollout order; keeps the status of an earlier one."""
         known = self.objects.get(("rollouts", pool))
         spec = {"Service": pool, "To": version, "DurationS": seconds}
@@ -98,7 +98,7 @@
         if known:
             self.objects["rollouts", pool]["Status"] = known["Status"]
 
-    def status(self, pool: str) -> dict:
+    def rollout_status(self, pool: str) -> dict:
         """Return the status of a pool's rollout order; empty if there is none."""
         return self.objects.get(("rollouts", pool), {}).get("Status") or {}
 
@@ -108,7 +108,7 @@
         self.revision += 1
         self._append_event(kind, True, item)
 
-    def lapse(self, kind: str, name: str) -> dict:
+    def remove_without_event(self, kind: str, name: str) -> dict:
         """Remove an object without an event, as during an outage."""
         self.revision += 1
         return self.objects.pop((kind, name))
@@ -188,8 +188,8 @@
     def _answer(self, body: dict) -> web.Response:
         """Return an answer; NaN is written as a bare literal, as some writers do."""
         text = json.dumps(body, separators=(",", ":")).encode()
-        if self.spoil:
-            text = text.replace(*self.spoil)
+        if self.answer_replacement:
+            text = text.replace(*self.answer_replacement)
         return web.Response(body=text, content_type="application/json")
 
     def _events(self, kind: str, since: int) -> list[dict]:
@@ -256,7 +256,7 @@
         Called with the number of the request, its fields and its body. Returns the
         bytes of the reply, or a list of bytes and pauses in seconds. In the list,
         "reset", "close" and "hang" end the connection, "crash" ends the target.
-    born : int
+    started_ms : int
         Start time in Unix milliseconds; 0 to omit it from the entry.
     version : str
         Software version.
@@ -268,10 +268,10 @@
     """
 
     def __init__(
-        self, name: str, script=None, born: int = 0, version: str = "v1"
+        self, name: str, script=None, started_ms: int = 0, version: str = "v1"
     ) -> None:
         self.name = name
-        self.born = born
+        self.started_ms = started_ms
         self.version = version
         self.script = script or (lambda number, fields, body: answer(fields))
         self.requests: list[tuple[str, dict, bytes]] = []
@@ -303,7 +303,7 @@
         for writer in self._writers:
             writer.transport.abort()
 
-    async def start_again(self, name: str) -> None:
+    async def restart_as(self, name: str) -> None:
         """Restart with another id at the same address."""
         self.name = name
         self.crashed.clear()
@@ -325,7 +325,7 @@
             "State": state,
             "ColdLeftMs": 0,
             "Sequence": 1,
-            **({"born": self.born} if self.born else {}),
+            **({"born": self.started_ms} if self.started_ms else {}),
         }
 
     async def _serve(self, reader, writer) -> None:
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -209,7 +209,7 @@
                 instance.store.reset()
 
     async def _silence(self, span):
-        self._instance().store.silence_open()
+        self._instance().store.silence_open_connections()
 
     async def _target_fault(self, span):
         target = self._rng.choice(self._world.targets)
@@ -318,7 +318,7 @@
                     target.fault = "grey"
             ledger.versions.add(version)
             duration = 4.0 + span
-            world.store.order(POOL, version, duration)
+            world.store.order_rollout(POOL, version, duration)
             state = await self._wait_final_state(version, duration)
             self.timeline.append(f"{version} {state or 'without an end'}")
             if state == "completed":
@@ -336,7 +336,7 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(duration + ROLLOUT_GRACE_S):
                 while True:
-                    status = self._world.store.status(POOL)
+                    status = self._world.store.rollout_status(POOL)
                     state = status.get("State")
                     if state != "running" and status.get("To") == version:
                         return state
--- a/tests/soak_environment.py
+++ b/tests/soak_environment.py
@@ -49,8 +49,8 @@
         Whether all its answers announce that it leaves.
     """
 
-    def __init__(self, name, ledger, rng, born=0, version="v1"):
-        super().__init__(name, self._work, born, version)
+    def __init__(self, name, ledger, rng, started_ms=0, version="v1"):
+        super().__init__(name, self._work, started_ms, version)
         self.fault = ""
         self.left_at = 0.0
         self.announces_leaving = False
@@ -76,7 +76,7 @@
         return [*pause, *self._answer(name, fields, self.fault if hit else "")]
 
     def _answer(self, name, fields, fault):
-        seal = f"X-Response-Seal: {name}.{self.name}\n{START_FIELD}: {self.born}"
+        seal = f"X-Response-Seal: {name}.{self.name}\n{START_FIELD}: {self.started_ms}"
         if self.announces_leaving:
             seal += f"\n{LEAVING_FIELD}: 1"
         if fault == "grey":
@@ -306,7 +306,9 @@
         await asyncio.sleep(span / 10)
         self.store.put("config", "main", document)
         if order:
-            self.store.order(POOL, order["Spec"]["To"], order["Spec"]["DurationS"])
+            self.store.order_rollout(
+                POOL, order["Spec"]["To"], order["Spec"]["DurationS"]
+            )
         living = {t.name: t for t in self.targets if not t.crashed.is_set()}
         listed = [name for kind, name in self.store.objects if kind == "servers"]
         for name in listed:
@@ -343,8 +345,10 @@
         await target.stop()
         if reset:
             target.reset()
-        born = time.time_ns() // 1_000_000
-        again = SoakTarget(target.name, self.ledger, self._rng, born, target.version)
+        started_ms = time.time_ns() // 1_000_000
+        again = SoakTarget(
+            target.name, self.ledger, self._rng, started_ms, target.version
+        )
         await again.start()
         self.targets[self.targets.index(target)] = again
         self.store.put("servers", again.name, again.entry(POOL, slots=SLOTS))
--- a/tests/soak_proxy.py
+++ b/tests/soak_proxy.py
@@ -72,7 +72,7 @@
         for writer in list(self._writers):
             _abort(writer)
 
-    def silence_open(self):
+    def silence_open_connections(self):
         """Silence the open connections permanently; new ones work."""
         self._silenced |= self._writers
 
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -211,7 +211,7 @@
         assert watched.targets["t1"].leaving
 
     async def test_a_removal_in_lost_history_is_seen(self, watched):
-        watched.store.lapse("servers", "t2")
+        watched.store.remove_without_event("servers", "t2")
         watched.store.forget_history()
         await watched.until(lambda: "t2" not in watched.targets)
 
@@ -220,8 +220,8 @@
         store.down = True
         calls = len(store.calls)
         await watched.until(lambda: len(store.calls) >= calls + 4)
-        item = store.lapse("servers", "t2")
-        store.lapse("servers", "t3")
+        item = store.remove_without_event("servers", "t2")
+        store.remove_without_event("servers", "t3")
         store.forget_history()
         calls = len(store.calls)
         store.down = False
@@ -287,7 +287,9 @@
 
     async def test_an_older_incarnation_is_ignored(self, watched):
         await self._put(watched, 2000, "t1@2000")
-        watched.store.put("servers", "t1", _entry(born=1000, address="127.0.0.1:9"))
+        watched.store.put(
+            "servers", "t1", _entry(born=1000, address="127.0.0.1:9")
+        )
         watched.store.put("servers", "t9", _entry())
         await watched.until(lambda: "t9" in watched.targets)
         assert watched.targets["t1@2000"].address == "127.0.0.1:1"
@@ -425,7 +427,7 @@
 
     async def test_bytes_that_are_not_utf8(self, watched):
         """Bytes that are not UTF-8 must not hide the other entries of the answer."""
-        watched.store.spoil = (b'"Zone":"spoilt"', b'"Zone":"\xff\xfe"')
+        watched.store.answer_replacement = (b'"Zone":"spoilt"', b'"Zone":"\xff\xfe"')
         watched.store.put("servers", "t1", _entry(Zone="spoilt"))
         watched.store.put("servers", "t9", _entry())
         await watched.until(lambda: "t9" in watched.targets)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -58,7 +58,7 @@
             await target.crashed.wait()
             await asyncio.sleep(DOWN_S)
             self.store.remove("servers", target.name)
-            await target.start_again(next(self._names))
+            await target.restart_as(next(self._names))
             self.store.put("servers", target.name, target.entry("pool-a"))
 
     async def wait_for_target(self, instance):
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -399,12 +399,12 @@
     """
 
     async def _start(self, site, script):
-        first = TargetStandIn("t1", script, born=1000)
+        first = TargetStandIn("t1", script, started_ms=1000)
         await site.start(first)
         return first
 
     async def _restart(self, site):
-        restarted = TargetStandIn("t1", self._rest, born=2000)
+        restarted = TargetStandIn("t1", self._rest, started_ms=2000)
         await site.add_target(restarted)
         async with asyncio.timeout(BOUND_S):
             while "t1@2000" not in site.instances[0].targets:
--- a/tests/test_leaving_targets.py
+++ b/tests/test_leaving_targets.py
@@ -112,9 +112,9 @@
         assert len(leaving.requests) == request_count
 
     async def test_is_used_after_a_restart(self, site):
-        leaving = TargetStandIn("t0", _announces_leaving("an answer"), born=1000)
+        leaving = TargetStandIn("t0", _announces_leaving("an answer"), started_ms=1000)
         await _start_and_call(site, leaving)
-        restarted = TargetStandIn("t0", born=2000)
+        restarted = TargetStandIn("t0", started_ms=2000)
         await site.add_target(restarted)
         await _until(lambda: "t0@2000" in site.instances[0].targets)
         await site.targets[1].stop()
--- a/tests/test_peerlink.py
+++ b/tests/test_peerlink.py
@@ -51,7 +51,7 @@
         """The proxy discards all bytes without a reset; new connections work."""
         async with _LinkPair() as pair:
             await pair.send_until("before")
-            pair.proxy.silence_open()
+            pair.proxy.silence_open_connections()
             await pair.send_until("after")
 
     @pytest.mark.parametrize("mode", [Mode.CUT_UP, Mode.SILENT])
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -73,9 +73,9 @@
 
     async def until_status(self, *states):
         async with asyncio.timeout(BOUND_S):
-            while self.store.status(POOL).get("State") not in states:
+            while self.store.rollout_status(POOL).get("State") not in states:
                 await asyncio.sleep(0.01)
-        return self.store.status(POOL)
+        return self.store.rollout_status(POOL)
 
     async def until_old_has_run(self, more=100):
         """Wait until the old version has run `more` further requests."""
@@ -122,7 +122,7 @@
     async def test_is_completed_in_time_and_receives_all(self, site):
         await site.start_pool()
         site.begin_calls()
-        site.store.order(POOL, "v2", 4.0)
+        site.store.order_rollout(POOL, "v2", 4.0)
         status = await site.until_status("running", "completed")
         assert status == {"State": "running", "To": "v2"}
         assert await site.until_status("completed") == {
@@ -140,7 +140,7 @@
     async def test_goes_on_when_its_dispatcher_ends(self, site):
         await site.start_pool()
         site.begin_calls()
-        site.store.order(POOL, "v2", 8.0)
+        site.store.order_rollout(POOL, "v2", 8.0)
         await site.until(lambda: site.requests_run["v2"] >= 10)
         dispatcher = site.instances[0].view.dispatcher_of(POOL)
         await site.end_instance(int(dispatcher[1:]))
@@ -148,7 +148,7 @@
 
     async def test_is_already_current(self, site):
         await site.start_pool(instances=1, new=0)
-        site.store.order(POOL, "v1", 5.0)
+        site.store.order_rollout(POOL, "v1", 5.0)
         assert await site.until_status("completed") == {
             "State": "completed",
             "To": "v1",
@@ -160,7 +160,7 @@
     async def test_the_endpoint_and_metrics_show_the_order(self, site):
         await site.start_pool(instances=1)
         site.begin_calls()
-        site.store.order(POOL, "v2", 30.0)
+        site.store.order_rollout(POOL, "v2", 30.0)
         await site.until(lambda: site.requests_run["v2"] >= 5)
         address = f"http://{site.instances[0].metrics_address}"
         async with site.session.get(f"{address}/rollouts") as response:
@@ -178,7 +178,7 @@
         caplog.set_level(logging.INFO)
         await site.start_pool(instances=1)
         site.begin_calls()
-        site.store.order(POOL, "v2", 3.0)
+        site.store.order_rollout(POOL, "v2", 3.0)
         await site.until_status("completed", "rolled_back")
         seen = {record.message for record in caplog.records}
         assert {
@@ -194,7 +194,7 @@
         site.fails = lambda number: number % 2 == 0
         await site.start_pool()
         site.begin_calls()
-        site.store.order(POOL, "v2", 6.0)
+        site.store.order_rollout(POOL, "v2", 6.0)
         assert (await site.until_status("rolled_back"))["To"] == "v2"
         received = site.requests_run["v2"]
         assert received <= SHARE * (received + site.requests_run["v1"]) + SLACK
@@ -205,7 +205,7 @@
         site.fails = lambda number: number % 2 == 0
         await site.start_pool()
         site.begin_calls()
-        site.store.order(POOL, "v2", 10.0)
+        site.store.order_rollout(POOL, "v2", 10.0)
         await site.until_status("running")
         site.store.down = True
         dispatcher = next(
@@ -222,7 +222,7 @@
         site.fails = lambda number: number % 2 == 0
         await site.start_pool()
         site.begin_calls()
-        site.store.order(POOL, "v2", 10.0)
+        site.store.order_rollout(POOL, "v2", 10.0)
         await site.until_status("rolled_back")
         received = site.requests_run["v2"]
         for number in range(2):
@@ -235,24 +235,24 @@
         site.fails = lambda number: number % 2 == 0
         await site.start_pool()
         site.begin_calls()
-        site.store.order(POOL, "v2", 6.0)
+        site.store.order_rollout(POOL, "v2", 6.0)
         await site.until_status("rolled_back")
         site.fails = lambda number: False
-        site.store.order(POOL, "v2", 5.0)
+        site.store.order_rollout(POOL, "v2", 5.0)
         await site.until_status("completed")
 
 
 class TestOrderThatCannotBeCarriedOut:
     async def test_to_a_version_without_targets(self, site):
         await site.start_pool(instances=1, new=0)
-        site.store.order(POOL, "v9", 1.0)
+        site.store.order_rollout(POOL, "v9", 1.0)
         assert (await site.until_status("rolled_back"))["To"] == "v9"
         assert (await site.call("/once/"))[0] == 200
 
     async def test_withdrawn_while_running(self, site):
         await site.start_pool()
         site.begin_calls()
-        site.store.order(POOL, "v2", 20.0)
+        site.store.order_rollout(POOL, "v2", 20.0)
         await site.until(lambda: site.requests_run["v2"] >= 5)
         site.store.remove("rollouts", POOL)
         await site.until(
@@ -290,12 +290,12 @@
         )
         assert (await site.call("/once/"))[0] == 200
         assert site.requests_run["v2"] == 0
-        assert site.store.status(POOL) == {}
+        assert site.store.rollout_status(POOL) == {}
 
     async def test_of_an_unknown_pool(self, site):
         await site.start_pool(instances=1)
-        site.store.order("no-such-pool", "v2", 5.0)
-        site.store.order(POOL, "v1", 5.0)
+        site.store.order_rollout("no-such-pool", "v2", 5.0)
+        site.store.order_rollout(POOL, "v1", 5.0)
         await site.until_status("completed")
 
 
@@ -304,10 +304,10 @@
         await site.start_pool()
         site.begin_calls()
         snapshot = site.store.copy()
-        site.store.order(POOL, "v2", 4.0)
+        site.store.order_rollout(POOL, "v2", 4.0)
         await site.until_status("completed")
         site.store.restore(snapshot)
-        site.store.order(POOL, "v2", 4.0)
+        site.store.order_rollout(POOL, "v2", 4.0)
         await site.until_status("completed")
         assert all(_serving_versions(i) == {"v2"} for i in site.running)
 
@@ -320,7 +320,7 @@
     async def test_the_next_dispatcher_knows_the_progress(self, site):
         await site.start_pool(instances=3)
         site.begin_calls()
-        site.store.order(POOL, "v2", 30.0)
+        site.store.order_rollout(POOL, "v2", 30.0)
         await site.until(lambda: site.requests_run["v2"] >= 12)
         others = [i for i in site.instances if i.view.dispatcher_of(POOL) != _name(i)]
         await site.until(
@@ -341,7 +341,7 @@
     async def test_progress_survives_a_restart_of_all_instances(self, site):
         await site.start_pool()
         site.begin_calls()
-        site.store.order(POOL, "v2", 60.0)
+        site.store.order_rollout(POOL, "v2", 60.0)
         await site.until(lambda: site.requests_run["v2"] >= 12)
         kind = "hibiscusstep-rollouts"
         await site.until(lambda: _saved_document(site, kind).get("exposed", 0) >= 8)
@@ -375,14 +375,14 @@
         await site.start_pool()
         site.begin_calls()
         snapshot = site.store.copy()
-        site.store.order(POOL, "v2", 10.0)
+        site.store.order_rollout(POOL, "v2", 10.0)
         await site.until_status("rolled_back")
         received = site.requests_run["v2"]
         site.store.restore(snapshot)
         # The watch ends with the store era; the next listing lacks the order.
         keepers = [i._rollouts for i in site.running]
         await site.until(lambda: any(keeper._restore_settled_at for keeper in keepers))
-        site.store.order(POOL, "v2", 10.0)
+        site.store.order_rollout(POOL, "v2", 10.0)
         await site.until_status("rolled_back")
         assert site.requests_run["v2"] <= received + 1
 
