--- a/hibiscusstep/load/drawn_deployment.py
+++ b/hibiscusstep/load/drawn_deployment.py
@@ -93,7 +93,7 @@
         Seconds per token, and before the first one, at slowness 1.
     prefill_rate : float
         Prompt tokens per second.
-    part : int
+    prefill_chunk : int
         Prompt tokens per step (prefill chunk).
     tokens_per_event : int
         Tokens per event of a stream.
@@ -109,8 +109,8 @@
         Loss of instances, if any.
     instances : int
         Number of instances; requests are spread evenly over them.
-    alone : float
-        Seconds after a restart in which each instance dispatches locally.
+    standby_seconds : float
+        Seconds after a restart in which each instance dispatches its own requests.
     """
 
     slowness: tuple[float, ...]
@@ -118,7 +118,7 @@
     step: float
     first_token: float
     prefill_rate: float
-    part: int
+    prefill_chunk: int
     tokens_per_event: int
     max_pause: float
     kinds: tuple[RequestKind, ...]
@@ -126,7 +126,7 @@
     restart: float
     loss: InstanceLoss | None = None
     instances: int = 20
-    alone: float = 0.0
+    standby_seconds: float = 0.0
 
     def rate(self, kind: RequestKind, now: float) -> float:
         """Return the requests per second of a kind at a moment."""
--- a/hibiscusstep/load/drive.py
+++ b/hibiscusstep/load/drive.py
@@ -142,7 +142,7 @@
             result.request = response.headers.get("X-Request-Id", "")
             body = await self._read(response, result, started)
         if response.status == 200:
-            _judge(arrival, body, result)
+            _check_answer(arrival, body, result)
         else:
             _read_problem(body, result)
 
@@ -173,7 +173,7 @@
     )
 
 
-def _judge(arrival: Arrival, body: bytes, result: Result) -> None:
+def _check_answer(arrival: Arrival, body: bytes, result: Result) -> None:
     """Check that the answer is complete and belongs to this request only."""
     if arrival.spec.path:
         right = orjson.loads(body).get("bytes") == len(_request_body(arrival))
--- a/hibiscusstep/load/log_analysis.py
+++ b/hibiscusstep/load/log_analysis.py
@@ -73,7 +73,7 @@
     kinds, windows, places : dict of Counter
         Results by route and rank, by the window in which a request began, and by the
         data centre and role of the instance that ended it.
-    unended : Counter
+    never_ended : Counter
         Grants by window for which no line reports the end: their instances were lost.
     targets : dict of TargetFigures
         Figures of each target, by name.
@@ -89,7 +89,7 @@
     places: dict[tuple[str, str], Counter] = field(
         default_factory=lambda: defaultdict(Counter)
     )
-    unended: Counter = field(default_factory=Counter)
+    never_ended: Counter = field(default_factory=Counter)
     targets: dict[str, TargetFigures] = field(
         default_factory=lambda: defaultdict(TargetFigures)
     )
@@ -120,7 +120,7 @@
         for (centre, role), counts in sorted(self.places.items()):
             yield f"{centre or '-'}, {role} | " + _cells(counts)
         yield "granted from second | never ended"
-        for start, count in sorted(self.unended.items()):
+        for start, count in sorted(self.never_ended.items()):
             yield f"{start:g} | {count}"
         yield "target | answers | long pauses | broken | ms an event"
         for name, figures in sorted(
@@ -247,7 +247,7 @@
     def end(self) -> LogAnalysis:
         """Return the analysis; requests granted but not ended count as never ended."""
         for at, _late in self._granted.values():
-            self._analysis.unended[self._analysis.window_of(at)] += 1
+            self._analysis.never_ended[self._analysis.window_of(at)] += 1
         return self._analysis
 
 
--- a/hibiscusstep/load/pool_emulator.py
+++ b/hibiscusstep/load/pool_emulator.py
@@ -65,7 +65,7 @@
     hint: int
     began: float
     instance: str
-    returns: int = 0
+    retries: int = 0
     ask: str = ""
     job: Job | None = None
     target: str = ""
@@ -85,7 +85,7 @@
 
     Parameters
     ----------
-    owed, earned : dict of float to float
+    possible_value, achieved_value : dict of float to float
         Possible and achieved value by the start of the window in seconds: 1 for an
         answer in time, `LATE_VALUE` for a late one.
     counts : dict of str to int
@@ -94,8 +94,12 @@
         All requests by rank, and those answered in time or late.
     """
 
-    owed: dict[float, float] = field(default_factory=lambda: defaultdict(float))
-    earned: dict[float, float] = field(default_factory=lambda: defaultdict(float))
+    possible_value: dict[float, float] = field(
+        default_factory=lambda: defaultdict(float)
+    )
+    achieved_value: dict[float, float] = field(
+        default_factory=lambda: defaultdict(float)
+    )
     counts: dict[str, int] = field(default_factory=lambda: defaultdict(int))
     asked: dict[int, int] = field(default_factory=lambda: defaultdict(int))
     served: dict[int, int] = field(default_factory=lambda: defaultdict(int))
@@ -112,13 +116,17 @@
     @property
     def overall_share(self) -> float:
         """Share of the possible value that was achieved, over the run."""
-        return sum(self.earned.values()) / max(1e-9, sum(self.owed.values()))
+        return sum(self.achieved_value.values()) / max(
+            1e-9, sum(self.possible_value.values())
+        )
 
     @property
     def worst_share(self) -> float:
         """Share of the possible value that was achieved in the worst windows."""
         shares = sorted(
-            self.earned[at] / owed for at, owed in self.owed.items() if owed
+            self.achieved_value[at] / possible
+            for at, possible in self.possible_value.items()
+            if possible
         )
         return sum(shares[:WORST_WINDOWS]) / max(1, len(shares[:WORST_WINDOWS]))
 
@@ -187,7 +195,7 @@
     def _batch(self, slowness: float) -> Batch:
         d = self._deployment
         speed = EngineSpeed(
-            d.prefill_rate, 1 / d.step, BATCH_COST, d.slots, d.part, slowness
+            d.prefill_rate, 1 / d.step, BATCH_COST, d.slots, d.prefill_chunk, slowness
         )
         return Batch(speed, cache_tokens=0)
 
@@ -261,7 +269,7 @@
         number = next(self._numbers)
         instance = self._instances[number % len(self._instances)]
         request = _Request(number, kind, prompt, output, hint, self._now, instance)
-        self._result.owed[self._window_start(request)] += 1.0
+        self._result.possible_value[self._window_start(request)] += 1.0
         self._result.asked[kind.rank] += 1
         self._schedule(
             self._now + kind.deadline, self._end_request, request, "deadline", 0.0
@@ -279,7 +287,7 @@
         if request.ended:
             return
         kind, now = request.kind, self._now
-        request.ask = f"{request.number}.{request.returns}"
+        request.ask = f"{request.number}.{request.retries}"
         self._by_ask[request.ask] = request
         request.asked = now
         patience = max(MIN_PATIENCE_S, PATIENCE_OBJECTIVES * kind.objective)
@@ -369,7 +377,7 @@
             return
         request.ended = True
         self._result.counts[how] += 1
-        self._result.earned[self._window_start(request)] += value
+        self._result.achieved_value[self._window_start(request)] += value
         self._result.served[request.kind.rank] += value > 0
         self._release(
             request, m.GrantOutcome.DONE if value else m.GrantOutcome.CANCELLED
@@ -398,10 +406,10 @@
             return
         left = request.began + request.kind.deadline - self._now
         wait = min(refusal.retry_after, left / 3)
-        if request.returns >= MAX_RETRIES or left <= 0:
+        if request.retries >= MAX_RETRIES or left <= 0:
             self._end_request(request, "refused", 0.0)
             return
-        request.returns += 1
+        request.retries += 1
         # No attempt is open until the retry, so the patience timeout must not match.
         request.ask = ""
         self._schedule(self._now + wait, self._submit, request)
@@ -419,7 +427,7 @@
                 request.ended = True
                 self._result.counts["lost"] += 1
         self._dispatcher = self._new_dispatcher()
-        self._local_dispatch_until = self._now + self._deployment.alone
+        self._local_dispatch_until = self._now + self._deployment.standby_seconds
         self._schedule(self._local_dispatch_until, self._resume_common_dispatcher)
 
     def _resume_common_dispatcher(self) -> None:
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -84,7 +84,7 @@
         name = f"r{self._number}-{kind}"
         key = key or self._rng.choice(list(CUSTOMERS))
         result = CallerResult(kind, CUSTOMERS[key], where=instance.name)
-        self._ledger.seen[name] = result
+        self._ledger.results[name] = result
         fields = {
             "Host": "h.example",
             "X-Request-Id": name,
@@ -325,7 +325,7 @@
                 world.version_number = len(ledger.versions)
                 await world.stop_version(before)
                 return
-            ledger.taken_back[version] = time.monotonic()
+            ledger.rolled_back_at[version] = time.monotonic()
             await asyncio.sleep(1.0)
             world.drain_version(version)
             await asyncio.sleep(ROLLBACK_S + span)
@@ -341,7 +341,7 @@
                     if state != "running" and status.get("To") == version:
                         return state
                     await asyncio.sleep(0.02)
-        self._world.ledger.late.append("a rollout order that did not end")
+        self._world.ledger.late_requests.append("a rollout order that did not end")
         return ""
 
     async def _store_restored(self, span):
@@ -394,7 +394,7 @@
         ]
     findings += ledger.findings()
     statuses = {}
-    for result in ledger.seen.values():
+    for result in ledger.results.values():
         statuses[result.status] = statuses.get(result.status, 0) + 1
     served = f"{count} instances, {dict(sorted(statuses.items()))}"
     return findings, [served, *fault_schedule.timeline]
--- a/tests/soak_environment.py
+++ b/tests/soak_environment.py
@@ -71,7 +71,7 @@
         )
         self._ledger.record_run(name, self.version)
         if self.left_at and time.monotonic() > self.left_at + LEAVING_TOLERANCE_S:
-            self._ledger.late.append(f"{name} at {self.name}")
+            self._ledger.late_requests.append(f"{name} at {self.name}")
         pause = [self._rng.uniform(0.0, 0.05) + (0.5 if hit == "slow" else 0.0)]
         return [*pause, *self._answer(name, fields, self.fault if hit else "")]
 
--- a/tests/soak_ledger.py
+++ b/tests/soak_ledger.py
@@ -67,37 +67,41 @@
     """All runs and results of one soak."""
 
     runs: dict[str, list[TargetRun]] = field(default_factory=lambda: defaultdict(list))
-    seen: dict[str, CallerResult] = field(default_factory=dict)
+    results: dict[str, CallerResult] = field(default_factory=dict)
     crashed: set[str] = field(default_factory=set)
-    late: list[str] = field(default_factory=list)
+    late_requests: list[str] = field(default_factory=list)
     # Times of target crashes, by the request that caused them.
     crashes: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
     # Time at which an instance first forwarded that a target leaves, by process and
     # start of the target.
-    heard: dict[tuple[int, str], float] = field(default_factory=dict)
+    leaving_forwarded_at: dict[tuple[int, str], float] = field(default_factory=dict)
     # Versions that may get requests, and times at which others were rolled back.
     versions: set[str] = field(default_factory=lambda: {"v1"})
-    taken_back: dict[str, float] = field(default_factory=dict)
+    rolled_back_at: dict[str, float] = field(default_factory=dict)
 
     def record_run(self, name, version):
         """Record a run of a request on a target of a version."""
         if version not in self.versions:
-            self.late.append(f"{name} at a version that was not ordered: {version}")
-        rolled_back_at = self.taken_back.get(version)
+            self.late_requests.append(
+                f"{name} at a version that was not ordered: {version}"
+            )
+        rolled_back_at = self.rolled_back_at.get(version)
         if (
             rolled_back_at is not None
             and time.monotonic() > rolled_back_at + ROLLBACK_S
         ):
-            self.late.append(f"{name} at a version that was rolled back: {version}")
+            self.late_requests.append(
+                f"{name} at a version that was rolled back: {version}"
+            )
 
     def findings(self):
         """Return a line per broken promise."""
-        lines = [f"sent too late: {what}" for what in self.late]
+        lines = [f"sent too late: {what}" for what in self.late_requests]
         for request, times in self.crashes.items():
             lines += self._check_crashes(request, sorted(times))
         for name, runs in self.runs.items():
             lines += self._check_runs(name, runs)
-        for name, result in self.seen.items():
+        for name, result in self.results.items():
             lines += self._check_answer(name, result)
         return lines
 
@@ -108,16 +112,16 @@
 
     def record_answer(self, process, target, sent_at, now, leaves):
         """Record an answer of a target; report it if its request was sent too late."""
-        heard = self.heard.get((process, target))
-        if heard is not None and sent_at > heard + LEAVING_NOTICE_S:
-            self.late.append(
-                f"{target}, {sent_at - heard:.1f} s after it announced to leave"
+        forwarded_at = self.leaving_forwarded_at.get((process, target))
+        if forwarded_at is not None and sent_at > forwarded_at + LEAVING_NOTICE_S:
+            self.late_requests.append(
+                f"{target}, {sent_at - forwarded_at:.1f} s after it announced to leave"
             )
         if leaves:
-            self.heard.setdefault((process, target), now)
+            self.leaving_forwarded_at.setdefault((process, target), now)
 
     def _check_runs(self, name, runs):
-        result = self.seen.get(name)
+        result = self.results.get(name)
         if result is None:
             yield f"{name}: run, but no caller sent it"
             return
--- a/tests/test_log_analysis.py
+++ b/tests/test_log_analysis.py
@@ -100,7 +100,7 @@
     def test_counts_grants_of_requests_that_never_end(self):
         grants = [_line(t, "grant", request=f"r{t}", due_in=1.0) for t in (1, 4, 5)]
         ends = [_attempt(6, request="r4")]
-        assert analyze_log([*grants, *ends]).unended == {0.0: 1, 4.0: 1}
+        assert analyze_log([*grants, *ends]).never_ended == {0.0: 1, 4.0: 1}
 
     def test_lines_are_sorted_by_time(self):
         grant = _line(4, "grant", request="r1", due_in=-1.5)
--- a/tests/test_mechanisms_off.py
+++ b/tests/test_mechanisms_off.py
@@ -17,7 +17,7 @@
 from hibiscusstep.configuration.stored import StoredConfiguration
 from hibiscusstep.configuration.updater import ConfigurationUpdater, _Seen
 from hibiscusstep.events import EventKind
-from hibiscusstep.load.drive import Result, State, _judge
+from hibiscusstep.load.drive import Result, State, _check_answer
 from hibiscusstep.load.mix import Arrival, RequestClass
 from hibiscusstep.progress import Progress
 from hibiscusstep.routing.target_estimate import TargetEstimate
@@ -119,7 +119,7 @@
                 await cluster.control(name, cut_after=4, cuts=1)
             reply = await cluster.chat("e0", arrival.prompt, tokens=12)
             result = Result(arrival)
-            _judge(arrival, reply.body, result)
+            _check_answer(arrival, reply.body, result)
             assert result.state is (State.WRONG if off else State.COMPLETE)
 
 
--- a/tests/test_pool_emulator.py
+++ b/tests/test_pool_emulator.py
@@ -41,13 +41,13 @@
     def test_a_run_is_deterministic_for_a_seed(self):
         runs = [PoolEmulator(draw_deployment(2), 5).run() for _ in range(2)]
         assert runs[0].counts == runs[1].counts
-        assert runs[0].earned == runs[1].earned
+        assert runs[0].achieved_value == runs[1].achieved_value
         other = PoolEmulator(draw_deployment(2), 6).run()
         assert other.counts != runs[0].counts
 
     def test_every_request_ends_once(self):
         outcomes = PoolEmulator(_mixed_speeds(bursts=(BURST,), restart=12.0), 1).run()
-        assert sum(outcomes.counts.values()) == sum(outcomes.owed.values())
+        assert sum(outcomes.counts.values()) == sum(outcomes.possible_value.values())
 
     def test_light_load_is_served_in_time(self):
         light = RequestKind(0, 4.0, 630.0, 100.0, 0.5, 0.8, 12.0)
@@ -57,9 +57,9 @@
     def test_a_restart_loses_open_requests_and_recovers(self):
         outcomes = PoolEmulator(_mixed_speeds(restart=12.0), 1).run()
         assert outcomes.counts["lost"] > 0
-        after = [v for at, v in outcomes.earned.items() if at >= 16.0]
-        owed = [v for at, v in outcomes.owed.items() if at >= 16.0]
-        assert sum(after) > 0.6 * sum(owed)
+        after = [v for at, v in outcomes.achieved_value.items() if at >= 16.0]
+        possible = [v for at, v in outcomes.possible_value.items() if at >= 16.0]
+        assert sum(after) > 0.6 * sum(possible)
 
 
 class TestPatterns:
@@ -160,9 +160,9 @@
             0.3, self.KINDS, (Burst(2.0, 12.0, 1.3),), 0.0, self.LOSS,
         )  # fmt: skip
         outcomes = PoolEmulator(deployment, seed, switches).run()
-        windows = [at for at in outcomes.owed if 6.0 <= at < 12.0]
-        earned = sum(outcomes.earned[at] for at in windows)
-        return earned / sum(outcomes.owed[at] for at in windows)
+        windows = [at for at in outcomes.possible_value if 6.0 <= at < 12.0]
+        achieved = sum(outcomes.achieved_value[at] for at in windows)
+        return achieved / sum(outcomes.possible_value[at] for at in windows)
 
     def test_overdue_slots_of_lost_instances_are_queried(self):
         """Four seeds gave 0.77 of the possible value with `ask_overdue`, 0.67 without,
@@ -196,12 +196,12 @@
         """Return the achieved share of the possible value in the next six seconds."""
         deployment = DrawnDeployment(
             (0.55,) * 13 + (1.0,) * 13 + (2.8,) * 13, 5, 0.0026, 0.014, 48_200.0, 1024,
-            8, 0.3, self.KINDS, (), 10.0, instances=98, alone=1.5,
+            8, 0.3, self.KINDS, (), 10.0, instances=98, standby_seconds=1.5,
         )  # fmt: skip
         outcomes = PoolEmulator(deployment, 1, switches).run()
-        windows = [at for at in outcomes.owed if 10.0 <= at < 16.0]
-        earned = sum(outcomes.earned[at] for at in windows)
-        return earned / sum(outcomes.owed[at] for at in windows)
+        windows = [at for at in outcomes.possible_value if 10.0 <= at < 16.0]
+        achieved = sum(outcomes.achieved_value[at] for at in windows)
+        return achieved / sum(outcomes.possible_value[at] for at in windows)
 
     def test_instances_that_dispatch_locally_use_different_targets(self):
         """Two seeds gave 0.98 with `spread_alone` and 0.49 without."""
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -135,7 +135,7 @@
             b"".join(events("r")) if kind in ("resume", "stream") else body_of("r", "t")
         )
         whole = {"status": 200, "whole": True, "body": body, "seal": "r.t"}
-        ledger.seen["r"] = CallerResult(kind, "one", **{**whole, **seen})
+        ledger.results["r"] = CallerResult(kind, "one", **{**whole, **seen})
         return ledger
 
     @pytest.mark.parametrize("kind", ["safe", "once", "resume", "stream"])
@@ -188,11 +188,11 @@
     def test_work_for_a_version_that_was_taken_back(self):
         ledger = self._ledger()
         ledger.versions.add("v2")
-        ledger.taken_back["v2"] = -1e6
+        ledger.rolled_back_at["v2"] = -1e6
         ledger.record_run("r", "v2")
         assert ledger.findings()
 
     def test_work_for_a_target_that_left(self):
         ledger = self._ledger()
-        ledger.late.append("r at t")
+        ledger.late_requests.append("r at t")
         assert ledger.findings()
