--- a/hibiscusstep/kept_answers.py
+++ b/hibiscusstep/answer_store.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.kept_answers: keeps the outcomes of attempts with an idempotency key."""
+"""hibiscusstep.answer_store: keeps the outcomes of attempts with an idempotency key."""
 
 import enum
 import itertools
@@ -12,7 +12,7 @@
 from hibiscusstep.peerlink import Send
 
 __all__ = [
-    "AnswerKeeper",
+    "AnswerStore",
     "AnswerState",
     "AttemptEnded",
     "AttemptStarted",
@@ -84,7 +84,7 @@
     waiting: list = field(default_factory=list)
 
 
-class AnswerKeeper(Worker):
+class AnswerStore(Worker):
     """Keeps answers for repeated keys up to a size limit, and fetches them from peers.
 
     Parameters
@@ -200,9 +200,9 @@
 
 @dataclass(slots=True, eq=False)
 class _PeerCall:
-    keeper: AnswerKeeper
+    store: AnswerStore
     sender: str
     number: str
 
     def reply(self, answer: KeptAnswer) -> None:
-        self.keeper.send_reply(self.sender, self.number, answer)
+        self.store.send_reply(self.sender, self.number, answer)
--- a/hibiscusstep/claims/client.py
+++ b/hibiscusstep/claims/client.py
@@ -58,7 +58,7 @@
 
     Parameters
     ----------
-    question : Call
+    call : Call
         The claim request to answer.
     shard : int
         Shard of the key.
@@ -70,7 +70,7 @@
         Instance that the message was sent to; None if the message may be lost.
     """
 
-    question: Call
+    call: Call
     shard: int
     ask: ClaimAsk
     deadline: float
@@ -176,25 +176,23 @@
         if pending is None:
             return
         record = ClaimRecord(
-            pending.question.body.digest,
+            pending.call.body.digest,
             reply.body_digest,
             reply.holder,
             reply.incarnation,
             reply.attempt,
             0,
         )
-        pending.question.reply(ClaimVerdict(ClaimResult(reply.result), record))
+        pending.call.reply(ClaimVerdict(ClaimResult(reply.result), record))
 
     def _expire(self) -> None:
         now = asyncio.get_running_loop().time()
         for number, pending in list(self._pending.items()):
             if pending.deadline <= now:
                 del self._pending[number]
-                pending.question.reply(ClaimVerdict(ClaimResult.UNAVAILABLE))
-                if not pending.question.body.lookup:
-                    self._release(
-                        pending.question.body.digest, pending.question.body.attempt
-                    )
+                pending.call.reply(ClaimVerdict(ClaimResult.UNAVAILABLE))
+                if not pending.call.body.lookup:
+                    self._release(pending.call.body.digest, pending.call.body.attempt)
 
     def _release(self, digest: bytes, attempt: str) -> None:
         shard = shard_of(digest, self._settings.shards)
--- a/hibiscusstep/delivery.py
+++ b/hibiscusstep/delivery.py
@@ -7,6 +7,7 @@
 
 from hibiscusstep.admission import AdmittedRequest
 from hibiscusstep.answer_sink import AnswerSink
+from hibiscusstep.answer_store import AnswerState, KeptAnswer
 from hibiscusstep.attempt import Attempt, RetryElsewhere
 from hibiscusstep.configuration.models import Configuration
 from hibiscusstep.dispatch_client import DispatchClient
@@ -14,7 +15,6 @@
 from hibiscusstep.explain import Explainer
 from hibiscusstep.grant_messages import Granted, GrantRequest, Refused
 from hibiscusstep.idempotency import KeyGuard
-from hibiscusstep.kept_answers import AnswerState, KeptAnswer
 from hibiscusstep.mailbox import MailboxFull
 from hibiscusstep.peer import WorkInfo
 from hibiscusstep.problem import Problem
--- a/hibiscusstep/dispatch_client.py
+++ b/hibiscusstep/dispatch_client.py
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True, eq=False)
 class _TrackedRequest:
-    question: Call
+    call: Call
     grant_request: GrantRequest
     received_at: float
     target: str = ""
@@ -226,7 +226,7 @@
     def _handle_grant(self, grant: PoolGrant) -> None:
         state = self._pool_state(grant.pool)
         tracked = state.waiting.pop(grant.ask, None)
-        if tracked is None or tracked.question.answer.done():
+        if tracked is None or tracked.call.answer.done():
             self._send(grant.pool, PoolWithdraw(grant.pool, grant.ask))
             return
         elapsed = asyncio.get_running_loop().time() - tracked.received_at
@@ -236,23 +236,23 @@
             return
         tracked.target = grant.target
         state.running[grant.ask] = tracked
-        tracked.question.reply(Granted(grant.ask, grant.target))
+        tracked.call.reply(Granted(grant.ask, grant.target))
 
     def _handle_refusal(self, refusal: PoolRefuse) -> None:
         tracked = self._pool_state(refusal.pool).waiting.pop(refusal.ask, None)
         if tracked:
             reason = RefusalReason(refusal.reason)
-            tracked.question.reply(Refused(reason, refusal.retry_after))
+            tracked.call.reply(Refused(reason, refusal.retry_after))
 
     def _refuse_overdue(self) -> None:
         now = asyncio.get_running_loop().time()
         for pool, state in self._pool_states.items():
             for ask, tracked in list(state.waiting.items()):
-                is_cancelled = tracked.question.answer.done()
+                is_cancelled = tracked.call.answer.done()
                 if is_cancelled or self._is_overdue(state, tracked.grant_request, now):
                     del state.waiting[ask]
                     self._send(pool, PoolWithdraw(pool, ask))
-                    tracked.question.reply(
+                    tracked.call.reply(
                         Refused(RefusalReason.UNAVAILABLE, UNAVAILABLE_RETRY_S)
                     )
 
--- a/hibiscusstep/forwarding/exchange.py
+++ b/hibiscusstep/forwarding/exchange.py
@@ -474,7 +474,7 @@
             report = m.LoadReport(
                 target.name, response_head.running, response_head.waiting, False
             )
-            self._context.dispatching.tell(TargetLoad(target.pool, report))
+            self._context.dispatcher_host.tell(TargetLoad(target.pool, report))
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/hibiscusstep/forwarding/grant_client.py
+++ b/hibiscusstep/forwarding/grant_client.py
@@ -209,7 +209,7 @@
             incoming.deadline,
         )
         try:
-            reply = await self._context.desk.ask(wanted)
+            reply = await self._context.dispatch_client.ask(wanted)
         except MailboxFull:
             reply = Refused(m.RefusalReason.LOAD, 1.0)
         if isinstance(reply, Granted):
@@ -232,7 +232,7 @@
         """Report the first event of the response to the dispatcher."""
         if self._grant is not None:
             seconds = self._now() - self.granted_at
-            self._context.desk.tell(
+            self._context.dispatch_client.tell(
                 FirstTokenReceived(self._incoming.pool, self._grant.ask, seconds)
             )
 
@@ -264,7 +264,7 @@
             longest_pause=timing.longest_pause if timing and first else 0.0,
         )
         self._grant = None
-        self._context.desk.tell(ended)
+        self._context.dispatch_client.tell(ended)
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/hibiscusstep/forwarding/incoming_request.py
+++ b/hibiscusstep/forwarding/incoming_request.py
@@ -113,9 +113,9 @@
         Location of this instance.
     dialect : Dialect
         Reads and writes header fields.
-    desk : DispatchClient
+    dispatch_client : DispatchClient
         Obtains grants from dispatchers.
-    dispatching : DispatcherHost
+    dispatcher_host : DispatcherHost
         Receives the load that targets report.
     connections : ConnectionPool
         Connections to targets.
@@ -136,8 +136,8 @@
     instance: str
     data_centre: str
     dialect: Dialect
-    desk: DispatchClient
-    dispatching: DispatcherHost
+    dispatch_client: DispatchClient
+    dispatcher_host: DispatcherHost
     connections: ConnectionPool
     retries: WindowedRetryBudget
     targets: dict[str, DiscoveredTarget]
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -38,7 +38,7 @@
 from hibiscusstep.forwarding.serving import serve
 from hibiscusstep.forwarding.state_distributor import StateDistributor
 from hibiscusstep.forwarding.target_backoff import TargetBackoff
-from hibiscusstep.forwarding.target_estimates import EstimateKeeper
+from hibiscusstep.forwarding.target_estimates import SavedEstimatesWorker
 from hibiscusstep.forwarding.target_messages import from_target_states
 from hibiscusstep.forwarding.windowed_retry_budget import WindowedRetryBudget
 from hibiscusstep.log import count_dropped_lines, decision, flush_periodically
@@ -295,7 +295,7 @@
             self._targets,
             lambda: self._catalog.revision if self._targets_known else 0,
         )
-        self._estimate_keeper = EstimateKeeper(
+        self._saved_estimates = SavedEstimatesWorker(
             self._environment.beliefs,
             lambda estimates: self._dispatcher_host.tell(estimates),
         )
@@ -311,7 +311,7 @@
             dispatcher_class=partial(SlotDispatcher, switches=settings.switches),
             polls_load=False,
             has_standby=True,
-            keep_estimates=self._estimate_keeper.tell
+            keep_estimates=self._saved_estimates.tell
             if settings.switches.kept_beliefs
             else None,
             on_rollout=self._rollouts.tell,
@@ -363,7 +363,7 @@
             self._kept_use,
             self._quarantine,
             self._rollouts,
-            *([self._estimate_keeper] if settings.switches.kept_beliefs else []),
+            *([self._saved_estimates] if settings.switches.kept_beliefs else []),
         ]
         self._receivers = self._map_receivers()
 
--- a/hibiscusstep/forwarding/target_estimates.py
+++ b/hibiscusstep/forwarding/target_estimates.py
@@ -9,7 +9,7 @@
 from hibiscusstep.peer import PoolLearnt
 from hibiscusstep.store import EstimateStore
 
-__all__ = ["EstimateKeeper"]
+__all__ = ["SavedEstimatesWorker"]
 
 _LOG = logging.getLogger(__name__)
 # With two pools this makes half a call per second; the store handles hundreds.
@@ -19,7 +19,7 @@
 MAX_VALUE = 1000.0
 
 
-class EstimateKeeper(Worker):
+class SavedEstimatesWorker(Worker):
     """Stores dispatchers' estimates of target speeds, and reads them at the start.
 
     After a restart of all instances no peer knows which targets are slow. Long prompts
--- a/hibiscusstep/idempotency.py
+++ b/hibiscusstep/idempotency.py
@@ -3,18 +3,18 @@
 import asyncio
 
 from hibiscusstep.admission import AdmittedRequest
-from hibiscusstep.claims.client import ClaimClient, ClaimRequest, ReleaseRequest
-from hibiscusstep.claims.index import ClaimResult, ClaimVerdict
-from hibiscusstep.claims.records import ClaimRecord
-from hibiscusstep.events import EventKind, NullRecorder
-from hibiscusstep.kept_answers import (
-    AnswerKeeper,
+from hibiscusstep.answer_store import (
     AnswerState,
+    AnswerStore,
     AttemptEnded,
     AttemptStarted,
     FetchAnswer,
     KeptAnswer,
 )
+from hibiscusstep.claims.client import ClaimClient, ClaimRequest, ReleaseRequest
+from hibiscusstep.claims.index import ClaimResult, ClaimVerdict
+from hibiscusstep.claims.records import ClaimRecord
+from hibiscusstep.events import EventKind, NullRecorder
 from hibiscusstep.problem import Outcome, Problem
 
 __all__ = ["KeyGuard"]
@@ -31,7 +31,7 @@
     ----------
     claim_client : ClaimClient
         Sends claims to their writers.
-    answers : AnswerKeeper
+    answers : AnswerStore
         Keeps the outcomes of attempts.
     recorder : NullRecorder
         Records the history.
@@ -42,7 +42,7 @@
     def __init__(
         self,
         claim_client: ClaimClient,
-        answers: AnswerKeeper,
+        answers: AnswerStore,
         recorder: NullRecorder,
         *,
         enabled: bool = True,
--- a/hibiscusstep/instance.py
+++ b/hibiscusstep/instance.py
@@ -8,6 +8,7 @@
 import orjson
 from aiohttp import web
 
+from hibiscusstep.answer_store import AnswerStore
 from hibiscusstep.caller_server import CallerServer
 from hibiscusstep.claims.client import ClaimClient
 from hibiscusstep.claims.writer import ClaimWriter
@@ -20,7 +21,6 @@
 from hibiscusstep.events import EventKind, NullRecorder, Recorder
 from hibiscusstep.explain import Explainer
 from hibiscusstep.idempotency import KeyGuard
-from hibiscusstep.kept_answers import AnswerKeeper
 from hibiscusstep.mailbox import Worker
 from hibiscusstep.membership.mesh import MeshMembership, OwnStateChange, ViewChanged
 from hibiscusstep.membership.view import View
@@ -196,7 +196,7 @@
         self._claim_client = ClaimClient(
             name, self._incarnation, address, self._links, self._deliver
         )
-        self._answers = AnswerKeeper(
+        self._answers = AnswerStore(
             name, self._incarnation, address, self._links, settings.kept_answer_bytes
         )
         self._workers: list[Worker] = [
--- a/tests/test_target_estimates.py
+++ b/tests/test_target_estimates.py
@@ -6,7 +6,7 @@
 from result import Err, Ok
 
 from hibiscusstep.errors import PlatformUnavailable
-from hibiscusstep.forwarding.target_estimates import EstimateKeeper
+from hibiscusstep.forwarding.target_estimates import SavedEstimatesWorker
 from hibiscusstep.mailbox import Tick
 from hibiscusstep.peer import PoolLearnt
 from hibiscusstep.routing import messages as m
@@ -34,23 +34,23 @@
         return Ok(dict(self.documents))
 
 
-def _keeper(store):
+def _make_worker(store):
     received = []
-    return EstimateKeeper(store, received.append), received
+    return SavedEstimatesWorker(store, received.append), received
 
 
 class TestKeeper:
     async def test_a_new_instance_reads_stored_values(self):
         store = _Store()
-        writer, _ = _keeper(store)
+        writer, _ = _make_worker(store)
         await writer.handle(ESTIMATES)
         await writer.handle(Tick())
-        reader, received = _keeper(store)
+        reader, received = _make_worker(store)
         await reader.handle(Tick())
         assert received == [ESTIMATES]
 
     async def test_reads_once(self):
-        reader, received = _keeper(_Store(p=asdict(ESTIMATES)))
+        reader, received = _make_worker(_Store(p=asdict(ESTIMATES)))
         for _ in range(3):
             await reader.handle(Tick())
         assert len(received) == 1
@@ -58,7 +58,7 @@
     async def test_reads_again_after_a_store_outage(self):
         store = _Store(p=asdict(ESTIMATES))
         store.unavailable = True
-        reader, received = _keeper(store)
+        reader, received = _make_worker(store)
         await reader.handle(Tick())
         assert not received
         store.unavailable = False
@@ -67,7 +67,7 @@
 
     async def test_writes_only_changes(self):
         store = _Store()
-        writer, _ = _keeper(store)
+        writer, _ = _make_worker(store)
         await writer.handle(ESTIMATES)
         await writer.handle(Tick())
         store.documents.clear()
@@ -85,7 +85,7 @@
         ],
     )
     async def test_a_malformed_document_is_ignored(self, document):
-        reader, received = _keeper(_Store(p=document))
+        reader, received = _make_worker(_Store(p=document))
         await reader.handle(Tick())
         assert not received
 
