--- a/hibiscusstep/dispatcher_host.py
+++ b/hibiscusstep/dispatcher_host.py
@@ -228,7 +228,7 @@
             )
             if may_decide and not hosted.dispatcher.recovered:
                 self._recover(hosted)
-            self._drop_silent_instances(hosted, now)
+            self._drop_unreachable_instances(hosted, now)
             self._feed(hosted, m.Tick())
             self._send_keepalives(hosted, now)
             self._report_rollout(hosted, now)
@@ -240,14 +240,14 @@
                 self._log_state(hosted, now)
                 self._send_estimates(hosted)
 
-    def _drop_silent_instances(self, hosted: HostedDispatcher, now: float) -> None:
-        """Drop the requests of silent instances where there is no full mesh."""
+    def _drop_unreachable_instances(self, hosted: HostedDispatcher, now: float) -> None:
+        """Drop the requests of unreachable instances where there is no full mesh."""
         if self._view.is_mesh:
             return
-        silent = [
+        unreachable = [
             n for n, at in hosted.last_heard_at.items() if now - at > INSTANCE_TIMEOUT_S
         ]
-        for name in silent:
+        for name in unreachable:
             del hosted.last_heard_at[name]
             self._feed(hosted, m.InstanceGone(name))
 
--- a/hibiscusstep/forwarding/reachability.py
+++ b/hibiscusstep/forwarding/reachability.py
@@ -6,8 +6,8 @@
 __all__ = ["Reachability"]
 
 # How long the number of instances reported at the start counts. A peer's number counts
-# as long as the peer's own doubt about silent members; the store's counts for two quota
-# windows only, because its list also names instances that have ended.
+# as long as the peer's own doubt about unreachable members; the store's counts for two
+# quota windows only, because its list also names instances that have ended.
 PEER_COUNT_LIFETIME_S = UNREACHABLE_LIFETIME_S
 STORE_COUNT_LIFETIME_S = 16.0
 # Time in which a new instance discovers all live and reachable peers.
--- a/hibiscusstep/membership/hierarchical.py
+++ b/hibiscusstep/membership/hierarchical.py
@@ -192,7 +192,7 @@
         ]
 
     def _handle_tick(self, now: float) -> None:
-        self._follower_tracker.remove_silent(now)
+        self._follower_tracker.remove_unreachable(now)
         self._update_role(now)
         count = len(self._follower_tracker.members)
         if count != self._own.followers:
@@ -200,7 +200,7 @@
             # The other relays need the number of followers for the region's size.
             super()._send_heartbeats()
         if self._own.relay:
-            self._tracker.remove_silent(now)
+            self._tracker.remove_unreachable(now)
             self._send_beats()
             self._send_beats_to_followers()
         else:
@@ -220,7 +220,7 @@
         parent = self._parent_selector.select_parent(now, self._tracker.members)
         if now - self._parent_message_at < ISOLATED_AFTER_S:
             self._tracker.restart_timeouts(now)
-        self._tracker.remove_silent(now)
+        self._tracker.remove_unreachable(now)
         if not parent:
             return
         if parent != before:
@@ -283,10 +283,10 @@
             role_known=self._list_attempted,
             listed_at_startup=self._listed_at_startup(),
         )
-        grouped = bool(followers) or others > 0 or not self._own.relay
+        is_hierarchical = bool(followers) or others > 0 or not self._own.relay
         return (
             replace(view, unreachable=self._count_missing(view.size))
-            if grouped
+            if is_hierarchical
             else view
         )
 
--- a/hibiscusstep/membership/mesh.py
+++ b/hibiscusstep/membership/mesh.py
@@ -121,7 +121,7 @@
         self._publish_if_changed()
 
     def _handle_tick(self, now: float) -> None:
-        self._tracker.remove_silent(now)
+        self._tracker.remove_unreachable(now)
         self._send_beats()
 
     def _handle_beat(self, beat: Beat, now: float) -> bool:
--- a/hibiscusstep/membership/tracker.py
+++ b/hibiscusstep/membership/tracker.py
@@ -33,7 +33,7 @@
         self._suspect_after = suspect_after
         self._tracked: dict[str, _TrackedMember] = {}
         # Time of removal of members without heartbeats, which may be alive.
-        self._silent_since: dict[str, float] = {}
+        self._unreachable_since: dict[str, float] = {}
         self._name_by_incarnation: dict[str, str] = {}
         # Time until which messages of an incarnation are ignored, as it is dead.
         self._ignored_until: dict[str, float] = {}
@@ -51,7 +51,7 @@
             self._ignored_until[tracked.member.incarnation] = math.inf
         self._tracked[beat.instance] = _TrackedMember(Member.from_heartbeat(beat), now)
         self._name_by_incarnation[beat.incarnation] = beat.instance
-        self._silent_since.pop(beat.instance, None)
+        self._unreachable_since.pop(beat.instance, None)
         return True
 
     def _is_ignored(self, incarnation: str, now: float) -> bool:
@@ -75,7 +75,7 @@
         tracked = self._tracked.pop(name, None)
         if tracked:
             self._name_by_incarnation.pop(tracked.member.incarnation, None)
-        self._silent_since.pop(name, None)
+        self._unreachable_since.pop(name, None)
 
     def remove_refused(self, address: str, now: float) -> None:
         """Remove the member at a peer address that refused a connection as dead.
@@ -94,7 +94,7 @@
         for tracked in self._tracked.values():
             tracked.at = now
 
-    def remove_silent(self, now: float) -> None:
+    def remove_unreachable(self, now: float) -> None:
         """Remove the members without a heartbeat within `suspect_after`.
 
         A gap between two checks above half of that time means that this process was
@@ -111,10 +111,10 @@
         for name, tracked in list(self._tracked.items()):
             if now - tracked.at > self._suspect_after:
                 self.remove(name)
-                self._silent_since[name] = now
-        for name, since in list(self._silent_since.items()):
+                self._unreachable_since[name] = now
+        for name, since in list(self._unreachable_since.items()):
             if now - since > UNREACHABLE_LIFETIME_S:
-                del self._silent_since[name]
+                del self._unreachable_since[name]
 
     @property
     def members(self) -> dict[str, Member]:
@@ -129,10 +129,10 @@
         own : Member
             This instance.
         listed_names : set of str or None
-            Names on the platform's list, None if it is unavailable; a silent member
-            that is not listed is dead and does not count as unreachable.
+            Names on the platform's list, None if it is unavailable; an unreachable
+            member that is not listed is dead and is not counted.
         """
-        unreachable = set(self._silent_since) & (
-            listed_names if listed_names is not None else set(self._silent_since)
+        unreachable = set(self._unreachable_since) & (
+            listed_names if listed_names is not None else set(self._unreachable_since)
         )
         return View({**self.members, own.name: own}, unreachable=len(unreachable))
--- a/tests/quota_region.py
+++ b/tests/quota_region.py
@@ -73,7 +73,7 @@
     next_tick: float
     told: tuple = ()
     seen: frozenset = field(default_factory=frozenset)
-    silent: set = field(default_factory=set)
+    unreachable: set = field(default_factory=set)
 
 
 @dataclass(order=True)
@@ -178,9 +178,9 @@
             reachable = {n for n in connected if self._same_side(n, number)}
             seen = frozenset(reachable | {number} if number in connected else {number})
             lost = {n for n in instance.seen - seen if not self._same_side(n, number)}
-            instance.silent = (instance.silent | lost) - seen
+            instance.unreachable = (instance.unreachable | lost) - seen
             instance.seen = seen
-            view_values = seen, len(instance.silent), self._listed(instance)
+            view_values = seen, len(instance.unreachable), self._listed(instance)
             if view_values == instance.told:
                 continue
             instance.told = view_values
@@ -188,10 +188,10 @@
             await instance.limiter.handle(ViewChanged(view))
             await instance.limiter.handle(CustomersChanged((self.rule,)))
 
-    def view(self, number, seen, silent, listed):
+    def view(self, number, seen, unreachable, listed):
         """Return the membership view of an instance."""
         members = {f"i{n}": self.member(n) for n in seen}
-        return View(members, silent, listed_at_startup=listed)
+        return View(members, unreachable, listed_at_startup=listed)
 
     def member(self, number, relay=True):
         incarnation = self.instances[number].incarnation
@@ -272,7 +272,7 @@
 
     RELAYS = 2
 
-    def view(self, number, seen, silent, listed):
+    def view(self, number, seen, unreachable, listed):
         """Return the view; followers prefer their own relay if they see it."""
         relays = [n for n in seen if n < self.RELAYS]
         members = {f"i{n}": self.member(n, n in relays) for n in {*relays, number}}
@@ -281,7 +281,7 @@
             parent = f"a{self._parent(number, relays)}" if relays else ""
             return View(
                 members,
-                silent,
+                unreachable,
                 parent=parent,
                 other_instances=others,
                 listed_at_startup=listed,
@@ -293,7 +293,11 @@
         }
         others -= len(followers)
         return View(
-            members, silent, followers, other_instances=others, listed_at_startup=listed
+            members,
+            unreachable,
+            followers,
+            other_instances=others,
+            listed_at_startup=listed,
         )
 
     def _parent(self, number, relays):
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -287,9 +287,7 @@
 
     async def test_an_older_incarnation_is_ignored(self, watched):
         await self._put(watched, 2000, "t1@2000")
-        watched.store.put(
-            "servers", "t1", _entry(born=1000, address="127.0.0.1:9")
-        )
+        watched.store.put("servers", "t1", _entry(born=1000, address="127.0.0.1:9"))
         watched.store.put("servers", "t9", _entry())
         await watched.until(lambda: "t9" in watched.targets)
         assert watched.targets["t1@2000"].address == "127.0.0.1:1"
--- a/tests/test_grant_monitor.py
+++ b/tests/test_grant_monitor.py
@@ -92,7 +92,7 @@
 
 
 class TestLostRequests:
-    def test_slots_of_a_silent_instance_are_freed_after_an_inquiry(self):
+    def test_slots_of_an_unreachable_instance_are_freed_after_an_inquiry(self):
         dispatcher = _dispatcher(1, targets=1)
         dispatcher.handle(_ask("a", "dead", 0.0), 0.0)
         dispatcher.handle(_ask("b", "i", 0.0), 0.0)
--- a/tests/test_hierarchical.py
+++ b/tests/test_hierarchical.py
@@ -23,7 +23,7 @@
 INSTANCES = 6
 
 
-class GroupedSite(Site):
+class HierarchicalSite(Site):
     """Site whose region has two relays."""
 
     def make_instance(self, path):
@@ -50,52 +50,48 @@
 
 
 @pytest.fixture
-async def grouped(tmp_path, monkeypatch):
-    site = GroupedSite(tmp_path, monkeypatch)
+async def site(tmp_path, monkeypatch):
+    site = HierarchicalSite(tmp_path, monkeypatch)
     await site.start(TargetStandIn("t1"), TargetStandIn("t2"))
     await asyncio.gather(*(site.add_instance() for _ in range(INSTANCES - 1)))
     yield site
     await site.stop()
 
 
-class TestGroupedRegion:
-    async def test_few_instances_are_relays_and_all_are_counted(self, grouped):
-        await grouped.until(lambda: grouped.settled() and len(grouped.followers) == 4)
-        assert len(grouped.instances) - len(grouped.followers) == MESH_SIZE
+class TestHierarchicalRegion:
+    async def test_few_instances_are_relays_and_all_are_counted(self, site):
+        await site.until(lambda: site.settled() and len(site.followers) == 4)
+        assert len(site.instances) - len(site.followers) == MESH_SIZE
 
-    async def test_followers_leave_the_store_to_their_relay(self, grouped):
-        await grouped.until(lambda: grouped.settled() and len(grouped.followers) == 4)
+    async def test_followers_leave_the_store_to_their_relay(self, site):
+        await site.until(lambda: site.settled() and len(site.followers) == 4)
         await asyncio.sleep(1.0)
-        grouped.store.calls.clear()
+        site.store.calls.clear()
         await asyncio.sleep(3.5)
-        watches = [call for call in grouped.store.calls if "Watch" in call]
+        watches = [call for call in site.store.calls if "Watch" in call]
         assert 0 < len(watches) <= 2 * 2 * MESH_SIZE
 
-    async def test_updates_reach_all_instances(self, grouped):
-        await grouped.until(lambda: grouped.settled() and len(grouped.followers) == 4)
+    async def test_updates_reach_all_instances(self, site):
+        await site.until(lambda: site.settled() and len(site.followers) == 4)
         new = TargetStandIn("t3")
-        await grouped.add_target(new)
-        grouped.store.put("config", "main", configuration(version=9))
-        await grouped.until(
-            lambda: all(new.name in i.targets for i in grouped.instances)
-        )
-        await grouped.until(lambda: all(i.version == 9 for i in grouped.instances))
-        grouped.store.remove("servers", new.name)
-        await grouped.until(
-            lambda: not any(new.name in i.targets for i in grouped.instances)
-        )
-
-    async def test_followers_switch_to_another_relay(self, grouped):
-        await grouped.until(lambda: grouped.settled() and len(grouped.followers) == 4)
-        gone = grouped.instances.index(grouped.relays[0])
-        await grouped.end_instance(gone)
-        live = [i for n, i in enumerate(grouped.instances) if n != gone]
-        await grouped.until(lambda: all(i.view.size == 5 for i in live))
-
-    async def test_a_follower_is_served_by_a_dispatcher_elsewhere(self, grouped):
-        await grouped.until(lambda: grouped.settled() and len(grouped.followers) == 4)
-        number = grouped.instances.index(grouped.followers[0])
-        status, _fields, _body = await grouped.call("/safe/x", instance=number)
+        await site.add_target(new)
+        site.store.put("config", "main", configuration(version=9))
+        await site.until(lambda: all(new.name in i.targets for i in site.instances))
+        await site.until(lambda: all(i.version == 9 for i in site.instances))
+        site.store.remove("servers", new.name)
+        await site.until(lambda: not any(new.name in i.targets for i in site.instances))
+
+    async def test_followers_switch_to_another_relay(self, site):
+        await site.until(lambda: site.settled() and len(site.followers) == 4)
+        gone = site.instances.index(site.relays[0])
+        await site.end_instance(gone)
+        live = [i for n, i in enumerate(site.instances) if n != gone]
+        await site.until(lambda: all(i.view.size == 5 for i in live))
+
+    async def test_a_follower_is_served_by_a_dispatcher_elsewhere(self, site):
+        await site.until(lambda: site.settled() and len(site.followers) == 4)
+        number = site.instances.index(site.followers[0])
+        status, _fields, _body = await site.call("/safe/x", instance=number)
         assert status == 200
 
 
@@ -155,11 +151,11 @@
     dispatcher's processor time were spent on the maximum of 5,500 numbers. Relays also
     greeted followers with each beat, and each greeting was answered by a heartbeat: 340
     a second at a relay. Relays dispatch the pools; with little processor time their
-    decisions were late, so that groups of instances took them for silent and dispatched
-    alone, each with a small part of the slots. With a profiler in each process, this
-    happened 970 times in ten seconds and 0.26 of the possible value was earned; after
-    the fix 0 times and 0.67. This was not shown to cause the low value of the region in
-    which it was found.
+    decisions were late, so that groups of instances took them for unreachable and
+    changed to standby dispatch, each with a small part of the slots. With a profiler in
+    each process, this happened 970 times in ten seconds and 0.26 of the possible value
+    was earned; after the fix 0 times and 0.67. This was not shown to cause the low
+    value of the region in which it was found.
     """
 
     @pytest.fixture
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -21,11 +21,13 @@
 
 
 class TestTracker:
-    def test_a_silent_member_is_unreachable_while_the_platform_lists_it(self):
+    def test_a_member_without_heartbeats_is_unreachable_while_the_platform_lists_it(
+        self,
+    ):
         tracker = HeartbeatTracker("own", 3.0)
         tracker.record_heartbeat(heartbeat(), 0.0)
         for now in (1.0, 2.0, 3.0, 4.0):
-            tracker.remove_silent(now)
+            tracker.remove_unreachable(now)
         assert set(tracker.view(OWN, {"x"}).members) == {"own"}
         assert tracker.view(OWN, {"x"}).has_unreachable
         assert tracker.view(OWN, None).has_unreachable
@@ -63,15 +65,15 @@
         tracker.record_heartbeat(heartbeat(), 0.0)
         for now in range(1, 8):
             assert tracker.record_beat("i1", 5, float(now))
-            tracker.remove_silent(float(now))
+            tracker.remove_unreachable(float(now))
         assert tracker.view(OWN).members["x"].version == 5
         assert not tracker.record_beat("i9", 1, 8.0)
 
     def test_a_pause_of_this_process_removes_no_members(self):
         tracker = HeartbeatTracker("own", 3.0)
         tracker.record_heartbeat(heartbeat(), 0.0)
-        tracker.remove_silent(0.5)
-        tracker.remove_silent(60.0)
+        tracker.remove_unreachable(0.5)
+        tracker.remove_unreachable(60.0)
         assert "x" in tracker.view(OWN).members
 
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -49,9 +49,9 @@
             for n, link in enumerate(self.links)
         ]
 
-    def set_view(self, alive, silent):
+    def set_view(self, alive, unreachable):
         members = {f"i{n}": _member(n) for n in alive}
-        self.view_changed = ViewChanged(View(members, silent))
+        self.view_changed = ViewChanged(View(members, unreachable))
 
     async def start(self):
         for limiter in self.limiters:
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -99,7 +99,7 @@
         self.sent.append(send)
 
 
-class TestGroupedMembership:
+class TestHierarchicalMembership:
     async def test_the_other_relays_get_the_number_of_followers_at_once(self):
         settings = InstanceSettings(
             "i0", "a", "r", "c:1", "o:1", "i0:1", "key", (), 0.25, 1.0, max_mesh_size=5
