--- a/hibiscusstep/dispatch_client.py
+++ b/hibiscusstep/dispatch_client.py
@@ -67,9 +67,9 @@
     """The waiting and running requests of one pool, and its dispatcher.
 
     `last_heard_at` is the time of the dispatcher's last message and `max_silence_s` the
-    seconds of silence allowed after it. Until `standby_until` the instance dispatches
-    its own requests; the next such period lasts `standby_s` seconds. `is_standby` is
-    whether it did so at the last update: the next dispatcher for all instances must
+    seconds of silence allowed after it. Until `standby_until` the instance uses
+    standby dispatch; the next such period lasts `standby_s` seconds. `is_standby` is
+    whether it did so at the last update: the pool's next dispatcher must
     receive the running requests, even if it is this instance. `held_reported` is
     whether the last `PoolHeld` listed any running request.
     """
@@ -97,8 +97,8 @@
     deliver_local : callable of Received
         Delivers messages to the dispatchers of this instance.
     standby_after : float
-        Seconds of a dispatcher's silence after which this instance dispatches its
-        own requests; 0 disables this.
+        Seconds of a dispatcher's silence after which this instance uses standby
+        dispatch; 0 disables this.
     """
 
     def __init__(
@@ -295,7 +295,7 @@
                 state.standby_s = MIN_STANDBY_S
 
     def _start_standby(self) -> None:
-        """Dispatch own requests in pools whose dispatcher has been silent too long."""
+        """Use standby dispatch in pools whose dispatcher has been silent too long."""
         if not self._standby_after:
             return
         now = asyncio.get_running_loop().time()
@@ -336,7 +336,7 @@
         return self._dispatcher_names[pool]
 
     def _is_standby(self, pool: str, state: _PoolState) -> bool:
-        """Whether this instance dispatches its own requests of a pool.
+        """Whether this instance uses standby dispatch for a pool.
 
         It does if the dispatcher is silent or if there is none: after a restart of all
         instances, none is ready to dispatch for about a second. Waiting until the
--- a/hibiscusstep/dispatcher_host.py
+++ b/hibiscusstep/dispatcher_host.py
@@ -105,7 +105,7 @@
     polls_load : bool
         Whether to read the targets' load reports.
     has_standby : bool
-        Whether to dispatch this instance's own requests of any pool on demand.
+        Whether to create standby dispatchers of pools on demand.
     keep_estimates : callable of PoolLearnt or None
         Stores the estimates of the dispatchers here, so that they survive restarts.
     on_rollout : callable of RolloutUpdate or None
@@ -333,13 +333,13 @@
                 self._send(address, keepalive)
 
     def _standby_dispatcher(self, pool: str) -> HostedDispatcher | None:
-        """Return the dispatcher for own requests only, created on demand."""
+        """Return the standby dispatcher of a pool, created on demand."""
         if not self._has_standby or self._configuration is None:
             return None
         if pool not in self._standby_hosted:
             hosted = HostedDispatcher(
                 self._make_dispatcher(
-                    pool, self._configuration, standalone_instance=self._own_name
+                    pool, self._configuration, standby_instance=self._own_name
                 )
             )
             self._standby_hosted[pool] = hosted
--- a/hibiscusstep/hosted_dispatcher.py
+++ b/hibiscusstep/hosted_dispatcher.py
@@ -24,7 +24,7 @@
     requests, `keepalive_interval_s` the seconds until the next. `state_logged_at` is
     the time of the last log of the state, `rollout_reported_at` that of the last report
     of the rollout's progress. `created_at` is when the dispatcher was created, 0 for
-    one that dispatches own requests only.
+    a standby dispatcher.
     """
 
     dispatcher: PoolDispatcher
--- a/hibiscusstep/load/drawn_deployment.py
+++ b/hibiscusstep/load/drawn_deployment.py
@@ -110,7 +110,7 @@
     instances : int
         Number of instances; requests are spread evenly over them.
     standby_seconds : float
-        Seconds after a restart in which each instance dispatches its own requests.
+        Seconds after a restart in which the instances use standby dispatch.
     """
 
     slowness: tuple[float, ...]
--- a/hibiscusstep/load/pool_emulator.py
+++ b/hibiscusstep/load/pool_emulator.py
@@ -46,8 +46,8 @@
 WINDOW_S = 2.0
 # The worst windows have the same weight in the goodput as the whole run.
 WORST_WINDOWS = 2
-# An instance that dispatches locally may use this multiple of its even share of slots.
-LOCAL_DISPATCH_SHARES = 2.0
+# A standby dispatcher may use this multiple of its instance's even share of slots.
+STANDBY_SHARES = 2.0
 # Time after which a large region removes an instance that sends no heartbeats.
 INSTANCE_TIMEOUT_S = 4.5
 # Share of a decode step that each further stream in the batch adds.
@@ -167,9 +167,9 @@
         self._active_targets: set[str] = set()
         self._result = EmulationResult()
         self._instances = [f"i{n}" for n in range(deployment.instances)]
-        # Dispatchers of instances that dispatch locally, by instance.
-        self._local_dispatchers: dict[str, SlotDispatcher] = {}
-        self._local_dispatch_until = 0.0
+        # Standby dispatchers by instance.
+        self._standby_dispatchers: dict[str, SlotDispatcher] = {}
+        self._standby_until = 0.0
         self._saved_estimates: m.LearnedEstimates | None = None
         self._dispatcher = self._new_dispatcher()
 
@@ -200,30 +200,30 @@
         return Batch(speed, cache_tokens=0)
 
     def _new_dispatcher(self, instance: str = "") -> SlotDispatcher:
-        """Return a new common dispatcher, or a local one of an instance."""
+        """Return a new pool's dispatcher, or an instance's standby dispatcher."""
         d = self._deployment
         targets = {name: PlannedTarget(d.slots) for name in self._names}
         pool = PlannedPool(True, d.tokens_per_event, d.max_pause, targets)
         plan = DispatchPlan({POOL: pool})
         dispatcher = SlotDispatcher(
-            POOL, plan, standalone_instance=instance, switches=self._switches
+            POOL, plan, standby_instance=instance, switches=self._switches
         )
         if instance:
-            dispatcher.capacity_share = min(1.0, LOCAL_DISPATCH_SHARES / d.instances)
+            dispatcher.capacity_share = min(1.0, STANDBY_SHARES / d.instances)
         if self._saved_estimates and self._switches.kept_beliefs:
             dispatcher.handle(self._saved_estimates, self._now)
         dispatcher.handle(m.Recovered(), self._now)
         return dispatcher
 
     def _dispatcher_of(self, instance: str) -> SlotDispatcher:
-        if not instance or self._now >= self._local_dispatch_until:
+        if not instance or self._now >= self._standby_until:
             return self._dispatcher
-        if instance not in self._local_dispatchers:
-            self._local_dispatchers[instance] = self._new_dispatcher(instance)
-        return self._local_dispatchers[instance]
+        if instance not in self._standby_dispatchers:
+            self._standby_dispatchers[instance] = self._new_dispatcher(instance)
+        return self._standby_dispatchers[instance]
 
     def _send_to_dispatcher(self, message, instance: str = "") -> None:
-        """Pass a message to the common dispatcher, or to an instance's local one."""
+        """Pass a message to the pool's dispatcher, or to an instance's standby one."""
         self._execute(self._dispatcher_of(instance).handle(message, self._now))
 
     def _execute(self, decisions: list[m.Decision]) -> None:
@@ -250,7 +250,7 @@
             self._send_to_dispatcher(m.HeldGrants(instance, frozenset(held)), instance)
 
     def _tick(self) -> None:
-        for dispatcher in (self._dispatcher, *self._local_dispatchers.values()):
+        for dispatcher in (self._dispatcher, *self._standby_dispatchers.values()):
             self._execute(dispatcher.handle(m.Tick(), self._now))
         if self._now < RUN_LENGTH_S or self._by_ask:
             self._schedule(self._now + TICK_S, self._tick)
@@ -359,8 +359,8 @@
             self._finish(request)
 
     def _report_load(self, request: _Request) -> None:
-        """Report a target's load, received with an answer, to a local dispatcher."""
-        if self._now < self._local_dispatch_until:
+        """Report a target's load, received with an answer, to a standby dispatcher."""
+        if self._now < self._standby_until:
             batch = self._batches[request.target]
             report = m.LoadReport(request.target, batch.running, batch.waiting, False)
             self._send_to_dispatcher(report, request.instance)
@@ -427,12 +427,12 @@
                 request.ended = True
                 self._result.counts["lost"] += 1
         self._dispatcher = self._new_dispatcher()
-        self._local_dispatch_until = self._now + self._deployment.standby_seconds
-        self._schedule(self._local_dispatch_until, self._resume_common_dispatcher)
+        self._standby_until = self._now + self._deployment.standby_seconds
+        self._schedule(self._standby_until, self._resume_pool_dispatcher)
 
-    def _resume_common_dispatcher(self) -> None:
-        """Switch back to the common dispatcher and send it all open requests."""
-        self._local_dispatchers = {}
+    def _resume_pool_dispatcher(self) -> None:
+        """Switch back to the pool's dispatcher and send it all open requests."""
+        self._standby_dispatchers = {}
         for request in self._by_ask.values():
             if request.job:
                 self._send_to_dispatcher(
--- a/hibiscusstep/load/rollout_emulator.py
+++ b/hibiscusstep/load/rollout_emulator.py
@@ -159,14 +159,12 @@
         )
         return DispatchPlan({POOL: pool})
 
-    def _create_dispatcher(self, standalone_instance: str = "") -> SlotDispatcher:
+    def _create_dispatcher(self, standby_instance: str = "") -> SlotDispatcher:
         plan = (
-            self._stale_plan
-            if standalone_instance and self._stale_plan
-            else self._plan()
+            self._stale_plan if standby_instance and self._stale_plan else self._plan()
         )
-        dispatcher = SlotDispatcher(POOL, plan, standalone_instance=standalone_instance)
-        if standalone_instance:
+        dispatcher = SlotDispatcher(POOL, plan, standby_instance=standby_instance)
+        if standby_instance:
             dispatcher.capacity_share = min(1.0, 2.0 / self._scenario.instances)
         dispatcher.handle(m.Recovered(), self._now)
         return dispatcher
@@ -314,7 +312,7 @@
             self._result.bad_answers += 1
             if self._result.bad_answers == TOLERATED_BAD_ANSWERS:
                 self._tolerance_reached_at = self._now
-        if dispatcher is not self._dispatcher and not dispatcher.is_standalone:
+        if dispatcher is not self._dispatcher and not dispatcher.is_standby:
             dispatcher = self._dispatcher
         if dispatcher:
             decoding = max(0.0, run.seconds - run.first)
--- a/hibiscusstep/peer.py
+++ b/hibiscusstep/peer.py
@@ -514,12 +514,12 @@
     is_rejected : bool
         Whether the version was found to be bad.
     serving : list of str
-        Versions in force.
+        Current versions.
     serving_since : int
-        Revision of the order whose completion put them in force; 0 if they were in
-        force before any order.
+        Revision of the order whose completion made them current; 0 if they were
+        current before any order.
     serving_for : float
-        Seconds for which the sender has known them to be in force.
+        Seconds for which the sender has known them to be current.
     """
 
     pool: str
--- a/hibiscusstep/routing/dispatch_plan.py
+++ b/hibiscusstep/routing/dispatch_plan.py
@@ -32,7 +32,7 @@
     targets : dict of str to PlannedTarget
         Its targets by name.
     serving : frozenset of str
-        Versions of its targets that are in force; empty if all are.
+        Current versions of its targets; empty if all are current.
     rollout : PlannedRollout or None
         A rollout that moves its traffic to another version.
     """
--- a/hibiscusstep/routing/slot_dispatcher.py
+++ b/hibiscusstep/routing/slot_dispatcher.py
@@ -69,9 +69,9 @@
         The pool.
     plan : DispatchPlan
         The targets of the pool.
-    standalone_instance : str
-        Name of the instance if the dispatcher serves only this one; empty if it serves
-        all instances.
+    standby_instance : str
+        Name of the instance if this is its standby dispatcher; empty for the pool's
+        dispatcher.
     switches : Switches
         The enabled mechanisms.
     """
@@ -80,16 +80,16 @@
         self,
         pool_name: str,
         plan: DispatchPlan,
-        standalone_instance: str = "",
+        standby_instance: str = "",
         switches: Switches = ALL_ENABLED,
         **_options,
     ) -> None:
         super().__init__(pool_name)
-        uses_subset = standalone_instance and switches.spread_alone
-        self._target_subset = TargetSubset(standalone_instance) if uses_subset else None
+        uses_subset = standby_instance and switches.spread_alone
+        self._target_subset = TargetSubset(standby_instance) if uses_subset else None
         self._subset_targets: list[SlotTarget] = []
         self._subset_updated_at = -math.inf
-        self._standalone_name = standalone_instance
+        self._standby_instance = standby_instance
         self._switches = switches
         self._queue = SlotQueue()
         self._refused_requests = RefusedRequests()
@@ -102,7 +102,7 @@
         self._imported_slowness: dict[str, float] = {}
         self._service_rate = 0.0
         self._service_rate_updated_at = -math.inf
-        self._partition = VersionPartition(self._selector, bool(standalone_instance))
+        self._partition = VersionPartition(self._selector, bool(standby_instance))
         # A dict lookup: a dispatching decorator costs 7 us per message.
         self._handlers = {
             m.RequestGrant: self._enqueue,
@@ -142,9 +142,9 @@
         return self._grant_monitor.overdue
 
     @property
-    def is_standalone(self) -> bool:
-        """Whether the dispatcher serves a single instance."""
-        return self._standalone_name != ""
+    def is_standby(self) -> bool:
+        """Whether this is the standby dispatcher of an instance."""
+        return self._standby_instance != ""
 
     @property
     def rollout(self) -> Rollout | None:
--- a/hibiscusstep/routing/switches.py
+++ b/hibiscusstep/routing/switches.py
@@ -30,7 +30,7 @@
         Whether instances are asked about requests that they hold beyond the expected
         end.
     spread_alone : bool
-        Whether standalone instances use different targets.
+        Whether standby dispatchers use different targets.
     short_ranks : bool
         Whether a rank of short requests is granted as often as those above it.
     service_times : bool
--- a/hibiscusstep/routing/target_subset.py
+++ b/hibiscusstep/routing/target_subset.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.target_subset: the target subset of a standalone instance."""
+"""hibiscusstep.routing.target_subset: the targets of a standby dispatcher."""
 
 import math
 from collections.abc import Iterable
@@ -17,7 +17,7 @@
 class TargetSubset:
     """Subset of the targets for one instance, so that all instances spread evenly.
 
-    While no dispatcher serves all instances, as for some seconds after a restart of
+    While a pool has no dispatcher, as for some seconds after a restart of
     all, each instance knows only its own grants. Without subsets all instances chose
     the fastest targets, whose queues stayed full for another four seconds: 98 instances
     and 39 targets of three speeds served 0.21 of the requests in the first two seconds
--- a/hibiscusstep/routing/version_partition.py
+++ b/hibiscusstep/routing/version_partition.py
@@ -36,21 +36,21 @@
     ----------
     selector : TargetSelector
         Selects targets for requests.
-    is_standalone : bool
-        Whether the dispatcher serves a single instance. It then sends no requests to a
-        version that is not in force, since they would not be counted.
+    is_standby : bool
+        Whether this is a standby dispatcher. It sends no requests to a version that is
+        not current, since they would not be counted.
 
     Attributes
     ----------
     serving : TargetIndex
-        Targets of the versions in force.
+        Targets of the current versions.
     rollout : Rollout or None
         The rollout in progress.
     """
 
-    def __init__(self, selector: TargetSelector, is_standalone: bool) -> None:
+    def __init__(self, selector: TargetSelector, is_standby: bool) -> None:
         self._selector = selector
-        self._is_standalone = is_standalone
+        self._is_standby = is_standby
         self._canaries = TargetIndex()
         self._roles: dict[str, _Role] = {}
         # Index of each target that is not barred.
@@ -71,9 +71,9 @@
         return slots if self.rollout is None else slots + self._canaries.slots(now)
 
     def configure(self, pool: PlannedPool) -> None:
-        """Apply the versions in force and the rollout, before targets are assigned."""
+        """Apply the current versions and the rollout, before targets are assigned."""
         self._serving_versions = pool.serving
-        planned = None if self._is_standalone else pool.rollout
+        planned = None if self._is_standby else pool.rollout
         if planned is None:
             self.rollout = None
         elif self.rollout and self.rollout.planned.number == planned.number:
--- a/tests/test_dispatch_client.py
+++ b/tests/test_dispatch_client.py
@@ -104,7 +104,7 @@
 class TestBecomesTheDispatcher:
     """An instance that dispatched its own requests becomes the dispatcher for all."""
 
-    async def test_registers_the_requests_that_it_granted_alone(self):
+    async def test_registers_the_requests_of_its_standby_dispatcher(self):
         fixture = _Fixture()
         await fixture.start(n0=False, n1=False)
         await fixture.ask()
--- a/tests/test_pool_emulator.py
+++ b/tests/test_pool_emulator.py
@@ -177,12 +177,12 @@
 
 
 class TestRestartOfAll:
-    """All instances restart and dispatch locally for some seconds.
+    """All instances restart and use standby dispatch for some seconds.
 
     In a region of 195 instances and 78 targets, 0.17 of the requests of the first two
     seconds after the restart were answered in time, 0.62 in the next two, then 0.71
     and 0.88. Each instance chose the fastest targets because it saw only its own
-    requests there, and their queues stayed full long after the common dispatcher was
+    requests there, and their queues stayed full long after the pool's dispatcher was
     back.
     """
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -386,8 +386,8 @@
 class TestDispatcher:
     """Targets that a dispatcher grants, by version."""
 
-    def _dispatcher(self, plan, standalone_instance=""):
-        dispatcher = SlotDispatcher("p", plan, standalone_instance=standalone_instance)
+    def _dispatcher(self, plan, standby_instance=""):
+        dispatcher = SlotDispatcher("p", plan, standby_instance=standby_instance)
         dispatcher.handle(m.Recovered(), 0.0)
         return dispatcher
 
@@ -422,7 +422,7 @@
 
     def test_an_instance_dispatching_alone_sends_no_canary_requests(self):
         plan = _plan(rollout=PlannedRollout("v2", 1, 100.0))
-        dispatcher = self._dispatcher(plan, standalone_instance="i")
+        dispatcher = self._dispatcher(plan, standby_instance="i")
         assert "t2" not in self._granted(dispatcher, 50)
 
     def test_suspect_requests_run_at_the_current_version(self):
--- a/tests/test_target_subset.py
+++ b/tests/test_target_subset.py
@@ -1,4 +1,4 @@
-"""Tests of hibiscusstep.routing.target_subset: standalone instances spread evenly."""
+"""Tests of hibiscusstep.routing.target_subset: standby dispatchers spread evenly."""
 
 from collections import Counter
 
@@ -52,7 +52,7 @@
     def _granted(self, instance, asks=1):
         targets = {f"t{n}": PlannedTarget(5) for n in range(30)}
         plan = DispatchPlan({"p": PlannedPool(True, targets=targets)})
-        dispatcher = SlotDispatcher("p", plan, standalone_instance=instance)
+        dispatcher = SlotDispatcher("p", plan, standby_instance=instance)
         dispatcher.capacity_share = 2 / 100
         slowness = {name: SLOWNESS[n % 3] for n, name in enumerate(targets)}
         dispatcher.handle(m.LearnedEstimates(slowness, is_fallback=True), 0.0)
