--- a/hibiscusstep/attempt.py
+++ b/hibiscusstep/attempt.py
@@ -12,7 +12,7 @@
 from hibiscusstep.grant_messages import FirstTokenReceived, Granted, RequestEnded
 from hibiscusstep.progress import Progress
 from hibiscusstep.routing.messages import GrantOutcome as TargetOutcome
-from hibiscusstep.target import TargetAnswer, TargetRequest, get_target_by_kind
+from hibiscusstep.target import TargetAnswer, TargetRequest, get_client_class
 
 __all__ = ["Attempt", "RetryElsewhere"]
 
@@ -84,7 +84,7 @@
     async def dispatch(self) -> None:
         """Send the request to the target once and relay the answer."""
         target_request = self._make_target_request()
-        target = self._make_target()
+        target = self._make_target_client()
         self._dispatched_at = asyncio.get_running_loop().time()
         self._dispatched_before = self._progress.dispatched
         self._progress.dispatched = True
@@ -147,13 +147,13 @@
             admitted.route.answer_timeout,
         )
 
-    def _make_target(self):
+    def _make_target_client(self):
         pool = self._configuration.pools[self._admitted.route.pool]
         name = self._granted.target
         if name not in pool.targets:
             raise RetryElsewhere(target_failed=False)
-        target_class = get_target_by_kind(pool.kind)
-        return target_class(name, pool.targets[name].address, self._sessions)
+        client_class = get_client_class(pool.kind)
+        return client_class(name, pool.targets[name].address, self._sessions)
 
     def _handle_send_error(self, error: TargetError) -> None:
         if error.sent:
--- a/hibiscusstep/dispatcher_host.py
+++ b/hibiscusstep/dispatcher_host.py
@@ -42,7 +42,7 @@
 from hibiscusstep.peerlink import Send
 from hibiscusstep.rollout.rollout_update import RolloutUpdate
 from hibiscusstep.routing import messages as m
-from hibiscusstep.target import get_target_by_kind
+from hibiscusstep.target import get_client_class
 
 if TYPE_CHECKING:
     from hibiscusstep.configuration.models import Configuration
@@ -229,7 +229,7 @@
             if may_decide and not hosted.dispatcher.recovered:
                 self._recover(hosted)
             self._drop_unreachable_instances(hosted, now)
-            self._feed(hosted, m.Tick())
+            self._feed(hosted, m.TimePassed())
             self._send_keepalives(hosted, now)
             self._report_rollout(hosted, now)
             if (
@@ -483,10 +483,10 @@
             settings = self._configuration.pools.get(pool)
             if settings is None:
                 return
-            target_class = get_target_by_kind(settings.kind)
+            client_class = get_client_class(settings.kind)
             reports = await asyncio.gather(
                 *(
-                    target_class(name, target.address, self._sessions).report()
+                    client_class(name, target.address, self._sessions).report()
                     for name, target in settings.targets.items()
                 )
             )
--- a/hibiscusstep/forwarding/dialect.py
+++ b/hibiscusstep/forwarding/dialect.py
@@ -7,7 +7,7 @@
 __all__ = [
     "Dialect",
     "Headers",
-    "RequestHead",
+    "RequestFields",
     "TargetRequestHead",
     "TargetResponseHead",
 ]
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestHead:
+class RequestFields:
     """Parsed header fields of a caller's request.
 
     Parameters
@@ -63,7 +63,7 @@
     timeout : float
         Seconds until the request's deadline.
     last_event_id : str
-        As in `RequestHead`.
+        As in `RequestFields`.
     """
 
     target: str
@@ -115,7 +115,7 @@
     """Reads and writes a platform's header fields."""
 
     @abstractmethod
-    def read_request(self, headers) -> RequestHead:
+    def read_request(self, headers) -> RequestFields:
         """Parse a caller's header fields (a case-insensitive multidict)."""
 
     @abstractmethod
--- a/hibiscusstep/forwarding/incoming_request.py
+++ b/hibiscusstep/forwarding/incoming_request.py
@@ -9,7 +9,7 @@
 from hibiscusstep.dispatch_client import DispatchClient
 from hibiscusstep.dispatcher_host import DispatcherHost
 from hibiscusstep.forwarding.connections import ConnectionPool
-from hibiscusstep.forwarding.dialect import Dialect, RequestHead
+from hibiscusstep.forwarding.dialect import Dialect, RequestFields
 from hibiscusstep.forwarding.fingerprint import fingerprint
 from hibiscusstep.forwarding.metrics import ForwardingMetrics
 from hibiscusstep.forwarding.model import CustomerRule, DiscoveredTarget, ForwardRoute
@@ -32,7 +32,7 @@
     ----------
     request : aiohttp.web.Request
         The request in aiohttp's form.
-    head : RequestHead
+    head : RequestFields
         Parsed header fields.
     body : bytes
         Request body.
@@ -49,7 +49,7 @@
     """
 
     request: web.Request
-    head: RequestHead
+    head: RequestFields
     body: bytes
     route: ForwardRoute
     pool: str
--- a/hibiscusstep/load/emulated_target.py
+++ b/hibiscusstep/load/emulated_target.py
@@ -10,8 +10,8 @@
     ORDER_AT_S,
     SLOWDOWN_PER_REQUEST,
     Defect,
+    EmulatedRoute,
     RolloutScenario,
-    Route,
 )
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.engine_model import ENGINE_STEP_S
@@ -89,14 +89,16 @@
     running: dict[str, m.Work] = field(default_factory=dict)
     down_until: float = 0.0
 
-    def begin(self, work: m.Work, route: Route, size: float, now: float) -> EmulatedRun:
+    def begin(
+        self, work: m.Work, route: EmulatedRoute, size: float, now: float
+    ) -> EmulatedRun:
         """Start a request and return its course.
 
         Parameters
         ----------
         work : Work
             The request.
-        route : Route
+        route : EmulatedRoute
             Its route.
         size : float
             Tokens of its answer, or its seconds at a plain service of slowness 1.
@@ -134,7 +136,7 @@
         seconds = first + events * TOKENS_PER_EVENT * ENGINE_STEP_S * time_factor
         return first, seconds, events
 
-    def _is_bad(self, route: Route, now: float) -> bool:
+    def _is_bad(self, route: EmulatedRoute, now: float) -> bool:
         scenario = self.scenario
         if self.version == OLD_VERSION or scenario.defect is Defect.NONE:
             return False
--- a/hibiscusstep/load/pool_emulator.py
+++ b/hibiscusstep/load/pool_emulator.py
@@ -251,7 +251,7 @@
 
     def _tick(self) -> None:
         for dispatcher in (self._dispatcher, *self._standby_dispatchers.values()):
-            self._execute(dispatcher.handle(m.Tick(), self._now))
+            self._execute(dispatcher.handle(m.TimePassed(), self._now))
         if self._now < RUN_LENGTH_S or self._by_ask:
             self._schedule(self._now + TICK_S, self._tick)
 
--- a/hibiscusstep/load/rollout_emulator.py
+++ b/hibiscusstep/load/rollout_emulator.py
@@ -26,8 +26,8 @@
     ORDER_AT_S,
     Defect,
     Disturbance,
+    EmulatedRoute,
     RolloutScenario,
-    Route,
 )
 from hibiscusstep.rollout.budget import ExposureLimits
 from hibiscusstep.rollout.order import RolloutOrder, RolloutState
@@ -83,7 +83,7 @@
         self._stale_plan: DispatchPlan | None = None
         self._revision = 1
         self._completed = False
-        self._requests: dict[str, tuple[Route, float, str]] = {}
+        self._requests: dict[str, tuple[EmulatedRoute, float, str]] = {}
         self._partition_dispatchers: dict[str, SlotDispatcher] = {}
         self._tolerance_reached_at = 0.0
         self._requests_by_second: dict[int, Counter] = defaultdict(Counter)
@@ -183,7 +183,7 @@
     def _tick(self) -> None:
         for dispatcher in (self._dispatcher, *self._partition_dispatchers.values()):
             if dispatcher:
-                self._deliver(dispatcher, m.Tick())
+                self._deliver(dispatcher, m.TimePassed())
         rollout = self._dispatcher.rollout if self._dispatcher else None
         if rollout and self._now >= self._progress_at + PROGRESS_INTERVAL_S:
             self._progress_at = self._now
--- a/hibiscusstep/load/rollout_scenario.py
+++ b/hibiscusstep/load/rollout_scenario.py
@@ -11,7 +11,7 @@
     "Defect",
     "Disturbance",
     "RolloutScenario",
-    "Route",
+    "EmulatedRoute",
     "draw_scenario",
 ]
 
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Route:
+class EmulatedRoute:
     """A kind of request.
 
     Parameters
@@ -90,7 +90,7 @@
         Slots of each target.
     rate : float
         Requests per second.
-    routes : tuple of Route
+    routes : tuple of EmulatedRoute
         Kinds of requests.
     duration : float
         Seconds from the order to its deadline.
@@ -124,7 +124,7 @@
     new: tuple[float, ...]
     slots: int
     rate: float
-    routes: tuple[Route, ...]
+    routes: tuple[EmulatedRoute, ...]
     duration: float
     defect: Defect
     defect_share: float
@@ -155,7 +155,7 @@
     )
     slots = int(rng.integers(4, 10, endpoint=True))
     routes = tuple(
-        Route(
+        EmulatedRoute(
             f"r{n}",
             float(rng.uniform(0.3, 1.0)),
             float(rng.uniform(40, 350) if engine else rng.uniform(0.03, 0.15)),
--- a/hibiscusstep/platform/headers.py
+++ b/hibiscusstep/platform/headers.py
@@ -2,7 +2,7 @@
 
 from hibiscusstep.forwarding.dialect import (
     Dialect,
-    RequestHead,
+    RequestFields,
     TargetRequestHead,
     TargetResponseHead,
 )
@@ -29,7 +29,7 @@
 class PlatformDialect(Dialect):
     """Dialect of the users' platform."""
 
-    def read_request(self, headers) -> RequestHead:
+    def read_request(self, headers) -> RequestFields:
         """Parse a caller's fields; malformed ones count as absent."""
         usage = headers.get("X-Token-Usage", "")
         prompt, output = _parse_int_pair(usage)
@@ -37,7 +37,7 @@
         deadline_ms = _parse_float(headers.get("X-Request-Deadline-Ms"))
         authorization = headers.get("Authorization", "")
         bearer = authorization[: len(_BEARER)].lower() == _BEARER
-        return RequestHead(
+        return RequestFields(
             request=headers.get("X-Request-Id", ""),
             key=authorization[len(_BEARER) :].strip() if bearer else "",
             caller_timeout=None if deadline_ms is None else deadline_ms / 1000,
--- a/hibiscusstep/routing/messages.py
+++ b/hibiscusstep/routing/messages.py
@@ -26,7 +26,7 @@
     "RequestGrant",
     "Stop",
     "SuspectPartition",
-    "Tick",
+    "TimePassed",
     "Withdraw",
     "Work",
 ]
@@ -259,7 +259,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tick:
+class TimePassed:
     """Time has passed."""
 
 
--- a/hibiscusstep/routing/policy_dispatcher.py
+++ b/hibiscusstep/routing/policy_dispatcher.py
@@ -183,7 +183,7 @@
         self._configure(message.configuration)
 
     @_update_state.register
-    def _tick(self, message: m.Tick, now: float) -> None:
+    def _tick(self, message: m.TimePassed, now: float) -> None:
         pass
 
     def _configure(self, configuration: Configuration) -> None:
--- a/hibiscusstep/routing/slot_dispatcher.py
+++ b/hibiscusstep/routing/slot_dispatcher.py
@@ -39,14 +39,14 @@
 
 
 # Messages that may lengthen the wait of queued requests or let their deadlines pass.
-_EXPIRY_TRIGGERS = (m.RequestGrant, m.Tick, m.Recovered, m.Configure)
+_EXPIRY_TRIGGERS = (m.RequestGrant, m.TimePassed, m.Recovered, m.Configure)
 # Messages after which a target may become available for a queued request. Changes that
 # depend only on time are handled with each tick.
 _GRANT_TRIGGERS = (
     m.Finished,
     m.HeldGrants,
     m.InstanceGone,
-    m.Tick,
+    m.TimePassed,
     m.Recovered,
     m.Configure,
     m.Withdraw,
@@ -116,7 +116,7 @@
             m.Recovered: self._recover,
             m.InstanceGone: self._instance_gone,
             m.Configure: self._reconfigure,
-            m.Tick: self._tick,
+            m.TimePassed: self._tick,
             m.SuspectPartition: self._ignore,
         }
         self._configure(plan, 0.0)
@@ -296,7 +296,7 @@
     def _reconfigure(self, message: m.Configure, now: float) -> None:
         self._configure(message.configuration, now)
 
-    def _tick(self, message: m.Tick, now: float) -> None:
+    def _tick(self, message: m.TimePassed, now: float) -> None:
         """Advance the rollout, inquire about overdue grants and release lost ones."""
         if self._recovered and (conclusion := self._partition.tick(self._targets, now)):
             self._decisions.append(conclusion)
--- a/hibiscusstep/target.py
+++ b/hibiscusstep/target.py
@@ -9,7 +9,7 @@
 from hibiscusstep.errors import TargetError
 from hibiscusstep.routing.messages import LoadReport
 
-__all__ = ["Target", "TargetAnswer", "TargetRequest", "get_target_by_kind"]
+__all__ = ["TargetClient", "TargetAnswer", "TargetRequest", "get_client_class"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
         """Release the connection."""
 
 
-class Target(ABC):
+class TargetClient(ABC):
     """Client for one target, in the protocol of its kind.
 
     Parameters
@@ -124,14 +124,14 @@
         """Return the target's load report, marked unreachable if there is no reply."""
 
 
-def get_target_by_kind(kind: str) -> type[Target]:
-    """Return the target class for the kind of a pool.
+def get_client_class(kind: str) -> type[TargetClient]:
+    """Return the client class for the targets of a kind of pool.
 
     Raises
     ------
     UnknownName
         If there is no such kind.
     """
-    from hibiscusstep.targets import TARGETS
+    from hibiscusstep.targets import TARGET_CLIENTS
 
-    return TARGETS.get(kind)
+    return TARGET_CLIENTS.get(kind)
--- a/hibiscusstep/targets/__init__.py
+++ b/hibiscusstep/targets/__init__.py
@@ -1,9 +1,9 @@
 """hibiscusstep.targets: clients of the target kinds, one module per kind."""
 
 from hibiscusstep.registry import Registry
-from hibiscusstep.targets.engine import EngineTarget
-from hibiscusstep.targets.service import ServiceTarget
+from hibiscusstep.targets.engine import EngineClient
+from hibiscusstep.targets.service import ServiceClient
 
-__all__ = ["TARGETS"]
+__all__ = ["TARGET_CLIENTS"]
 
-TARGETS = Registry("target kind", [EngineTarget, ServiceTarget])
+TARGET_CLIENTS = Registry("target kind", [EngineClient, ServiceClient])
--- a/hibiscusstep/targets/engine.py
+++ b/hibiscusstep/targets/engine.py
@@ -10,10 +10,10 @@
 
 from hibiscusstep.errors import TargetError
 from hibiscusstep.target import TargetAnswer, TargetRequest
-from hibiscusstep.targets.http import HttpTarget
+from hibiscusstep.targets.http import HttpTargetClient
 from hibiscusstep.targets.service import ServiceAnswer
 
-__all__ = ["EngineAnswer", "EngineTarget", "StreamedAnswer"]
+__all__ = ["EngineAnswer", "EngineClient", "StreamedAnswer"]
 
 _LOG = logging.getLogger(__name__)
 END_MARK = b"data: [DONE]\n\n"
@@ -24,7 +24,7 @@
 _COMPUTED_TOKENS = re.compile(rb'"prompt_tokens_computed":\s*(\d+)')
 
 
-class EngineTarget(HttpTarget):
+class EngineClient(HttpTargetClient):
     """A model engine that can stream, resume and cancel requests by their id."""
 
     name = "engine"
@@ -65,7 +65,7 @@
     """A completion as one JSON document."""
 
     def __init__(
-        self, response, target: EngineTarget, target_request: TargetRequest
+        self, response, target: EngineClient, target_request: TargetRequest
     ) -> None:
         super().__init__(response, target)
         self._attempt = target_request.attempt
@@ -97,7 +97,7 @@
     """Unmodified server-sent events; an interrupted stream is resumed on its engine."""
 
     def __init__(
-        self, response, target: EngineTarget, target_request: TargetRequest
+        self, response, target: EngineClient, target_request: TargetRequest
     ) -> None:
         super().__init__(response, target, target_request)
         self._partial_event = b""
--- a/hibiscusstep/targets/http.py
+++ b/hibiscusstep/targets/http.py
@@ -5,9 +5,9 @@
 
 from hibiscusstep.errors import TargetError
 from hibiscusstep.routing.messages import LoadReport
-from hibiscusstep.target import Target, TargetRequest
+from hibiscusstep.target import TargetClient, TargetRequest
 
-__all__ = ["HttpTarget", "TargetSessions"]
+__all__ = ["HttpTargetClient", "TargetSessions"]
 
 CONNECT_TIMEOUT_S = 1.0
 REPORT_TIMEOUT_S = 1.0
@@ -50,8 +50,8 @@
     return session
 
 
-class HttpTarget(Target):
-    """Target that gets each request over HTTP at most once; reports ``GET /load``."""
+class HttpTargetClient(TargetClient):
+    """Client that sends each request over HTTP at most once; reports ``GET /load``."""
 
     async def send_once(self, target_request: TargetRequest) -> Result:
         """Send a request and return the response once its head has arrived."""
--- a/hibiscusstep/targets/service.py
+++ b/hibiscusstep/targets/service.py
@@ -5,15 +5,17 @@
 
 from hibiscusstep.errors import TargetError
 from hibiscusstep.target import TargetAnswer, TargetRequest
-from hibiscusstep.targets.http import READ_BUFFER_BYTES, HttpTarget
+from hibiscusstep.targets.http import READ_BUFFER_BYTES, HttpTargetClient
 
-__all__ = ["ServiceAnswer", "ServiceTarget"]
+__all__ = ["ServiceAnswer", "ServiceClient"]
 
 
 class ServiceAnswer(TargetAnswer):
     """A response whose end is detected by its framing (length or last chunk)."""
 
-    def __init__(self, response: aiohttp.ClientResponse, target: HttpTarget) -> None:
+    def __init__(
+        self, response: aiohttp.ClientResponse, target: HttpTargetClient
+    ) -> None:
         self._response = response
         self._target = target
         self.status = response.status
@@ -41,7 +43,7 @@
             self._response.close()
 
 
-class ServiceTarget(HttpTarget):
+class ServiceClient(HttpTargetClient):
     """A plain service."""
 
     name = "service"
--- a/tests/test_emulated_target.py
+++ b/tests/test_emulated_target.py
@@ -12,12 +12,12 @@
     ORDER_AT_S,
     Defect,
     Disturbance,
-    Route,
+    EmulatedRoute,
     draw_scenario,
 )
 from hibiscusstep.routing import messages as m
 
-ROUTE = Route("r0", 1.0, 0.1, 0.0, 0.0)
+ROUTE = EmulatedRoute("r0", 1.0, 0.1, 0.0, 0.0)
 AFTER_ORDER_S = ORDER_AT_S + 10.0
 PLAIN_SCENARIO = replace(
     draw_scenario(3), engine=False, slots=4, defect=Defect.FAILS, defect_share=1.0,
--- a/tests/test_grant_monitor.py
+++ b/tests/test_grant_monitor.py
@@ -99,7 +99,7 @@
         decided = {}
         for n in range(40):
             now = n * TICK_S
-            for decision in dispatcher.handle(m.Tick(), now):
+            for decision in dispatcher.handle(m.TimePassed(), now):
                 decided.setdefault(type(decision), (round(now, 2), decision))
         assert decided[m.QueryGrants] == (MIN_OVERDUE_S, m.QueryGrants("dead"))
         assert decided[m.GrantLost][1].work.ask == "a"
@@ -113,14 +113,14 @@
         dispatcher.handle(_ask("a", "i", 0.0), 0.0)
         assert dispatcher.summary(0.0)["overdue"] == 0
         for n in range(12):
-            dispatcher.handle(m.Tick(), n * TICK_S)
+            dispatcher.handle(m.TimePassed(), n * TICK_S)
         assert dispatcher.summary(0.6)["overdue"] == 1
 
     def test_lost_request_counts_again_when_it_is_reported_held(self):
         dispatcher = _dispatcher(1, targets=1)
         dispatcher.handle(_ask("a", "i", 0.0), 0.0)
         for n in range(40):
-            dispatcher.handle(m.Tick(), n * TICK_S)
+            dispatcher.handle(m.TimePassed(), n * TICK_S)
         dispatcher.handle(m.HeldGrants("i", frozenset(["a"])), 2.0)
         assert dispatcher.targets["t0"].available_slots(2.0) == 0
         dispatcher.handle(m.Finished("a", m.GrantOutcome.DONE), 2.1)
@@ -167,7 +167,7 @@
 
     def run(self, seconds):
         for n in range(int(seconds / TICK_S)):
-            self.at(n * TICK_S, self.dispatch, m.Tick())
+            self.at(n * TICK_S, self.dispatch, m.TimePassed())
             self.at(n * TICK_S, self.send_ask, f"a{n}", n % self.INSTANCES)
         while self.events and self.events[0][0] <= seconds:
             self.now, _number, action, arguments = heapq.heappop(self.events)
--- a/tests/test_policy_dispatcher.py
+++ b/tests/test_policy_dispatcher.py
@@ -94,7 +94,7 @@
     def test_decides_nothing_before_recovery(self):
         dispatcher = make(recovered=False)
         assert dispatcher.handle(m.RequestGrant(work(1, deadline=0.1)), 0.0) == []
-        assert dispatcher.handle(m.Tick(), 5.0) == []
+        assert dispatcher.handle(m.TimePassed(), 5.0) == []
 
     def test_adopted_request_occupies_a_slot(self):
         dispatcher = make(recovered=False, targets=1, max_running=1)
@@ -137,9 +137,9 @@
         dispatcher = make(targets=1, max_running=1)
         fill(dispatcher, 1, tier="low", output_tokens=1000)
         assert dispatcher.handle(m.RequestGrant(work("high", deadline=2)), 0.0) == []
-        decisions = dispatcher.handle(m.Tick(), 1.8)
+        decisions = dispatcher.handle(m.TimePassed(), 1.8)
         assert stopped(decisions) == ["f0"] and refused(decisions) == []
-        assert refused(dispatcher.handle(m.Tick(), 2.5)) == []
+        assert refused(dispatcher.handle(m.TimePassed(), 2.5)) == []
         cancelled = m.Finished("f0", m.GrantOutcome.CANCELLED)
         assert granted(dispatcher.handle(cancelled, 2.6)) == ["high"]
 
@@ -158,7 +158,7 @@
         dispatcher.handle(m.Recovered(), 0.0)
         fill(dispatcher, 1, output_tokens=1000)
         dispatcher.handle(m.RequestGrant(work("waits", deadline=1)), 0.0)
-        assert refused(dispatcher.handle(m.Tick(), 50.0)) == []
+        assert refused(dispatcher.handle(m.TimePassed(), 50.0)) == []
 
 
 class TestRefusals:
@@ -244,7 +244,7 @@
             decisions = dispatcher.handle(m.RequestGrant(work(n)), 0.1)
             assert decisions[0].target != failed_target
         assert dispatcher.handle(m.RequestGrant(work("b")), 0.2) == []
-        assert granted(dispatcher.handle(m.Tick(), 1.2)) == ["b"]
+        assert granted(dispatcher.handle(m.TimePassed(), 1.2)) == ["b"]
         assert dispatcher.handle(m.RequestGrant(work("c")), 1.3) == []
 
     @pytest.mark.parametrize("mark", ["drained", "leaving", "reachable"])
@@ -423,7 +423,7 @@
 
     def take(self, number, kind, tier, customer, tokens, deadline, elapsed):
         self.now += elapsed
-        message = m.Tick()
+        message = m.TimePassed()
         if kind == "ask":
             item = work(
                 number,
--- a/tests/test_saturated_plain_service.py
+++ b/tests/test_saturated_plain_service.py
@@ -50,7 +50,7 @@
         while (moment := moment + self.generator.expovariate(rate)) < DURATION_S:
             self.at(moment, self.arrive, next(self.sequence), moment)
         for tick in range(int(DURATION_S / TICK_S)):
-            self.at(tick * TICK_S, self.handle_message, m.Tick())
+            self.at(tick * TICK_S, self.handle_message, m.TimePassed())
         while self.events:
             self.now, _sequence, action, args = heapq.heappop(self.events)
             action(*args)
--- a/tests/test_slot_dispatcher.py
+++ b/tests/test_slot_dispatcher.py
@@ -275,7 +275,7 @@
         self._fail_until_backoff(dispatcher)
         for n in range(3):
             dispatcher.handle(m.RequestGrant(_work(f"a{n}")), 0.1)
-        assert _grants(dispatcher.handle(m.Tick(), 0.6)) == {"a1": "t0"}
+        assert _grants(dispatcher.handle(m.TimePassed(), 0.6)) == {"a1": "t0"}
         done = _grants(self._end(dispatcher, "a1", 0.7, m.GrantOutcome.DONE))
         assert done == {"a2": "t0"}
         assert _grants(dispatcher.handle(m.RequestGrant(_work("b")), 0.7)) == {
@@ -347,7 +347,7 @@
             ask = _work(f"r1.{n}", 1, deadline=0.3, tokens=2000)
             refused += dispatcher.handle(m.RequestGrant(ask), 0.0)
         dispatcher.handle(m.RequestGrant(_work("last", 2, deadline=90.0)), 0.0)
-        refused += dispatcher.handle(m.Tick(), 0.01)
+        refused += dispatcher.handle(m.TimePassed(), 0.01)
         assert any(isinstance(d, m.Refuse) and d.work.rank == 1 for d in refused)
         assert dispatcher.is_undecided("last")
 
@@ -357,7 +357,7 @@
         dispatcher = _dispatcher((1,))
         dispatcher.handle(m.RequestGrant(_work("a")), 0.0)
         dispatcher.handle(m.RequestGrant(_work("b", deadline=0.5)), 0.0)
-        (refusal,) = dispatcher.handle(m.Tick(), 0.6)
+        (refusal,) = dispatcher.handle(m.TimePassed(), 0.6)
         assert isinstance(refusal, m.Refuse)
         assert refusal.work.ask == "b"
         assert refusal.retry_after > 0
