--- a/hibiscusstep/configuration/updater.py
+++ b/hibiscusstep/configuration/updater.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Seen:
+class _ConfigurationRead:
     """A version was read from the platform."""
 
     version: int
@@ -86,7 +86,7 @@
                 self._check_for_updates()
             case ViewChanged(view=view):
                 self._view = view
-            case _Seen():
+            case _ConfigurationRead():
                 self._apply_version(message.version, message.value)
             case Received(sender=sender, message=ConfigurationAsk(number=number)):
                 reply = ConfigurationReply(
@@ -121,7 +121,7 @@
                     CONFIGURATION_KEY, after, WATCH_TIMEOUT_S
                 )
             if found.is_ok() and (item := found.unwrap()):
-                self.tell(_Seen(item.version, item.value))
+                self.tell(_ConfigurationRead(item.version, item.value))
                 await asyncio.sleep(TICK_S)
             elif found.is_err():
                 is_absent = isinstance(found.unwrap_err(), PlatformNotFound)
--- a/hibiscusstep/delivery.py
+++ b/hibiscusstep/delivery.py
@@ -162,7 +162,7 @@
         self._services.retries.record_request()
         try:
             async with asyncio.timeout(admitted.route.answer_timeout) as self._timeout:
-                if admitted.needs_claim and await self._replay_earlier():
+                if admitted.needs_claim and await self._replay_earlier_answer():
                     return
                 for number in range(1, admitted.route.max_attempts + 1):
                     if await self._try_target(number):
@@ -173,7 +173,7 @@
             self._timeout = None
         raise self._progress.failed("No target gave a whole answer.")
 
-    async def _replay_earlier(self) -> bool:
+    async def _replay_earlier_answer(self) -> bool:
         """Replay the answer of an earlier attempt with the key, if there was one."""
         earlier = await self._services.keys.look_up(self._admitted)
         return earlier is not None and await self._send_replay(earlier)
--- a/hibiscusstep/dispatch_client.py
+++ b/hibiscusstep/dispatch_client.py
@@ -134,15 +134,17 @@
             case RequestEnded():
                 self._send_finished(message)
             case Received(sender=sender, message=PoolGrant() as grant):
-                self._note_sign_of_life(grant.pool, sender)
+                self._record_dispatcher_message(grant.pool, sender)
                 self._handle_grant(grant)
             case Received(sender=sender, message=PoolRefuse() as refusal):
-                self._note_sign_of_life(refusal.pool, sender)
+                self._record_dispatcher_message(refusal.pool, sender)
                 self._handle_refusal(refusal)
             case Received(sender=sender, message=PoolQueued() as keepalive):
-                self._note_sign_of_life(keepalive.pool, sender, keepalive.again_in)
+                self._record_dispatcher_message(
+                    keepalive.pool, sender, keepalive.again_in
+                )
             case Received(sender=sender, message=PoolInquire(pool=pool)):
-                self._note_sign_of_life(pool, sender)
+                self._record_dispatcher_message(pool, sender)
                 tracked = list(self._pool_state(pool).running)
                 self._send_to(sender, PoolHeld(pool, self._own_name, tracked))
             case Received(message=PoolStop(pool=pool, ask=ask)):
@@ -276,7 +278,9 @@
         )
         return latest + DECISION_GRACE_S < now
 
-    def _note_sign_of_life(self, pool: str, sender: str, again_in: float = 0.0) -> None:
+    def _record_dispatcher_message(
+        self, pool: str, sender: str, again_in: float = 0.0
+    ) -> None:
         """Record that the dispatcher of a pool is alive.
 
         Parameters
--- a/hibiscusstep/forwarding/connections.py
+++ b/hibiscusstep/forwarding/connections.py
@@ -277,7 +277,7 @@
         for connection in self._in_use.pop(name, ()):
             connection.fail("the target restarted")
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Close the connections whose idle time is over."""
         now = elapsed()
         for name, idle in list(self._idle.items()):
--- a/hibiscusstep/forwarding/environment.py
+++ b/hibiscusstep/forwarding/environment.py
@@ -35,18 +35,18 @@
         Reads and writes the platform's header fields.
     tables, targets : Feed
         The configuration and the targets' entries in the store.
-    roster : InstanceDirectory
+    instance_directory : InstanceDirectory
         Registered instances.
-    beliefs : EstimateStore
+    estimate_store : EstimateStore
         Persists the dispatchers' estimates of targets.
-    use : UsageStore
+    usage_store : UsageStore
         Persists the customers' usage of their quotas.
-    suspects : SuspectStore
+    suspect_store : SuspectStore
         Persists which requests crash targets.
-    rollouts : RolloutStore
+    rollout_store : RolloutStore
         Persists operators' rollouts of versions.
     register : callable
-        Returns an awaitable that adds this instance to the roster.
+        Returns an awaitable that registers this instance.
     read_table : callable of bytes
         Parses a routing table that a peer sent.
     read_bounds : callable
@@ -67,11 +67,11 @@
     dialect: Dialect
     tables: Feed
     targets: Feed
-    roster: InstanceDirectory
-    beliefs: EstimateStore
-    use: UsageStore
-    suspects: SuspectStore
-    rollouts: RolloutStore
+    instance_directory: InstanceDirectory
+    estimate_store: EstimateStore
+    usage_store: UsageStore
+    suspect_store: SuspectStore
+    rollout_store: RolloutStore
     register: Callable
     read_table: Callable[[bytes], RoutingTable]
     read_bounds: Callable[[], Bounds]
--- a/hibiscusstep/forwarding/grant_client.py
+++ b/hibiscusstep/forwarding/grant_client.py
@@ -104,7 +104,7 @@
         while True:
             if self._quarantine_status.is_quarantined:
                 return self._quarantine_refusal()
-            if seconds := await self._wait_for_rested_target():
+            if seconds := await self._wait_for_target_after_backoff():
                 return Refusal(seconds, "all targets asked this instance to back off")
             reply = await self._request_grant()
             if isinstance(reply, Refused):
@@ -151,7 +151,7 @@
         max_wait = GRANT_WAIT_SHARE * self._incoming.route.objective
         return min(started + max_wait, self._incoming.deadline)
 
-    async def _wait_for_rested_target(self) -> float:
+    async def _wait_for_target_after_backoff(self) -> float:
         """Wait while all targets of the pool have asked this instance to back off.
 
         Returns
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -200,7 +200,7 @@
         self._environment.on_store_restored(self._on_store_restored)
         children = [
             *(Child(worker.name, worker.run) for worker in self._workers),
-            Child("sweeper", self._sweep),
+            Child("sweeper", self._maintain),
             Child("log", flush_periodically),
             Child("registration", self._register, RestartPolicy.TRANSIENT),
             Child("metrics", self._serve_metrics),
@@ -275,7 +275,7 @@
             settings,
             incarnation,
             self._links,
-            self._environment.roster,
+            self._environment.instance_directory,
             self._on_view,
             settings.capacity,
             settings.max_mesh_size,
@@ -296,11 +296,15 @@
             lambda: self._catalog.revision if self._targets_known else 0,
         )
         self._saved_estimates = SavedEstimatesWorker(
-            self._environment.beliefs,
+            self._environment.estimate_store,
             lambda estimates: self._dispatcher_host.tell(estimates),
         )
         self._rollouts = RolloutCoordinator(
-            name, address, self._links, self._environment.rollouts, self._publish_plan
+            name,
+            address,
+            self._links,
+            self._environment.rollout_store,
+            self._publish_plan,
         )
         self._dispatcher_host = DispatcherHost(
             name,
@@ -324,18 +328,18 @@
             self._deliver_message,
             DISPATCHER_TIMEOUT_S,
         )
-        self._kept_use = SavedUsageWorker(
-            self._environment.use,
+        self._saved_usage = SavedUsageWorker(
+            self._environment.usage_store,
             bounds.quota_window,
-            lambda use: self._quotas.tell(use),
+            lambda usage: self._quotas.tell(usage),
         )
         self._quotas = QuotaLimiter(
-            incarnation, address, self._links, bounds, self._kept_use
+            incarnation, address, self._links, bounds, self._saved_usage
         )
         self._metrics = ForwardingMetrics()
         self._connections = ConnectionPool()
         self._quarantine = Quarantine(
-            address, self._links, self._connections, self._environment.suspects
+            address, self._links, self._connections, self._environment.suspect_store
         )
         self._retries = WindowedRetryBudget(bounds, self._started_at)
         self._context = ForwardingContext(
@@ -360,7 +364,7 @@
             self._dispatcher_host,
             self._dispatch_client,
             self._quotas,
-            self._kept_use,
+            self._saved_usage,
             self._quarantine,
             self._rollouts,
             *([self._saved_estimates] if settings.switches.kept_beliefs else []),
@@ -510,12 +514,12 @@
         for worker in (self._quotas, self._quarantine):
             worker.tell(StoreRestored())
 
-    async def _sweep(self) -> None:
+    async def _maintain(self) -> None:
         eligible = False
         suspensions = SuspensionDetector()
         for sweep_number in itertools.count(1):
             await asyncio.sleep(SWEEP_INTERVAL_S)
-            self._connections.sweep()
+            self._connections.close_expired()
             self._record_suspension(suspensions.check())
             self._choose_target_source()
             self._distributor.request_newer_table()
--- a/hibiscusstep/forwarding/quota.py
+++ b/hibiscusstep/forwarding/quota.py
@@ -11,7 +11,7 @@
 from hibiscusstep.forwarding.quota_request import TokenReservation
 from hibiscusstep.forwarding.reachability import Reachability
 from hibiscusstep.forwarding.saved_usage import (
-    ReadUse,
+    ReadUsage,
     SavedUsage,
     SavedUsagePlanner,
     SaveUsage,
@@ -73,7 +73,7 @@
         Sends messages to peers.
     bounds : Bounds
         Window and allowed overage.
-    use_store : Worker or None
+    usage_worker : Worker or None
         Reads and writes the saved usage; None if there is no store.
     """
 
@@ -83,13 +83,13 @@
         address: str,
         links: Worker,
         bounds: Bounds,
-        use_store: Worker | None = None,
+        usage_worker: Worker | None = None,
     ) -> None:
         super().__init__("quota-keeper", tick_interval=SEND_INTERVAL_S)
         self._incarnation = incarnation
         self._address = address
         self._links = links
-        self._use_store = use_store
+        self._usage_worker = usage_worker
         now = asyncio.get_running_loop().time()
         self._ledger = UsageLedger(incarnation, bounds.quota_window, now)
         self._reachability = Reachability(now)
@@ -171,9 +171,9 @@
         self._ledger.drop_stale(now)
         self._query_history(now)
         self._send_changes()
-        self._write_use(now)
+        self._save_usage(now)
         if self._ticks % LOG_USE_EVERY == 0:
-            self._log_use(now)
+            self._log_usage(now)
 
     def _process_view(self, view: View, now: float) -> None:
         """Apply a membership view and send the usage history to new neighbours."""
@@ -189,7 +189,7 @@
         self._neighbours = view.neighbours(self._address)
         for address in set(self._neighbours) - known:
             self._send_history(address, now)
-        self._request_stored_use(now)
+        self._request_saved_usage(now)
 
     def _query_history(self, now: float) -> None:
         """Query neighbours for usage before the start until it is known."""
@@ -200,12 +200,12 @@
             if history_unknown or address not in self._answered:
                 self._query(address)
 
-    def _request_stored_use(self, now: float) -> None:
+    def _request_saved_usage(self, now: float) -> None:
         """Request the saved usage unless there is a relay or the window is known."""
-        if self._use_store is None or self._ledger.knows_window(now):
+        if self._usage_worker is None or self._ledger.knows_window(now):
             return
         if self._view.role_known and not self._view.parent:
-            self._use_store.tell(ReadUse())
+            self._usage_worker.tell(ReadUsage())
 
     def _query(self, address: str) -> None:
         """Query a neighbour for its usage history, at most once per tick."""
@@ -307,7 +307,7 @@
             **self._usage_fields(customer, now),
         )
 
-    def _log_use(self, now: float) -> None:
+    def _log_usage(self, now: float) -> None:
         """Log the usage of the active customers nearest to their limits."""
         shares = {
             name: self.used(name, now) / self._limit.current_limit(rule, now)
@@ -399,9 +399,9 @@
                 usage = Usage(self._incarnation, scope, names, totals)
                 self._links.tell(Send(address, usage))
 
-    def _write_use(self, now: float) -> None:
+    def _save_usage(self, now: float) -> None:
         """Store the usage of customers near their limits, if this is its duty."""
-        if self._use_store is None or not self._ledger.knows_history(now):
+        if self._usage_worker is None or not self._ledger.knows_history(now):
             return
         if not self._view.has_duty("customers' use", self._address):
             return
@@ -415,7 +415,7 @@
         }
         document = self._planner.next_document(self._ledger, limits, now)
         if document is not None:
-            self._use_store.tell(SaveUsage(document))
+            self._usage_worker.tell(SaveUsage(document))
 
 
 def _changed_names(totals: dict[str, int], sent_totals: dict[str, int]) -> list[str]:
--- a/hibiscusstep/forwarding/rollouts.py
+++ b/hibiscusstep/forwarding/rollouts.py
@@ -128,7 +128,7 @@
         self._read_task: asyncio.Task | None = None
         self._write_tasks: dict[str, asyncio.Task] = {}
         self._save_task: asyncio.Task | None = None
-        self._saved_requested: set[str] = set()
+        self._requested_saved_pools: set[str] = set()
         self._ambiguous_since: float | None = None
         self._published_at = self._saved_at = 0.0
         self._call_s = 0.0
@@ -455,14 +455,14 @@
                 decision("rollout-not-kept", pool=pool, error=str(written.unwrap_err()))
 
     def _request_saved(self, pool: str) -> None:
-        if pool not in self._saved_requested:
-            self._saved_requested.add(pool)
+        if pool not in self._requested_saved_pools:
+            self._requested_saved_pools.add(pool)
             self._save_task = asyncio.create_task(self._read_saved(pool))
 
     async def _read_saved(self, pool: str) -> None:
         reply = await self._store.read_progress(pool)
         if reply.is_err():
-            self._saved_requested.discard(pool)
+            self._requested_saved_pools.discard(pool)
             return
         self.tell(_SavedRead(pool, reply.unwrap()))
 
--- a/hibiscusstep/load/customer_use.py
+++ b/hibiscusstep/load/customer_usage.py
@@ -1,9 +1,9 @@
-"""hibiscusstep.load.customer_use: customers' usage of their limits, from log lines."""
+"""hibiscusstep.load.customer_usage: customers' usage of limits, from log lines."""
 
 from collections import Counter, defaultdict
 from dataclasses import dataclass
 
-__all__ = ["CustomerUse", "HeaviestWindow"]
+__all__ = ["CustomerUsage", "HeaviestWindow"]
 
 # Attempts end in a different order than they begin. Tokens are summed in steps of this
 # width, so that memory grows with the time span of a log and not with its lines.
@@ -31,7 +31,7 @@
     limit: int
 
 
-class CustomerUse:
+class CustomerUsage:
     """Token usage of attempts, by customer.
 
     As in the quota, tokens are counted when an attempt is sent, and once per request.
--- a/hibiscusstep/load/emulated_target.py
+++ b/hibiscusstep/load/emulated_target.py
@@ -112,7 +112,7 @@
         first, seconds, events = self._times(
             size, scenario.slow_factor if slow else 1.0, now
         )
-        failed = self.rng.random() < route.error_share or self._is_grey(now)
+        failed = self.rng.random() < route.error_share or self._has_grey_failure(now)
         failed |= bad and scenario.defect is Defect.FAILS
         outcome = m.GrantOutcome.FAILED if failed else m.GrantOutcome.DONE
         if failed:
@@ -155,7 +155,7 @@
             factor *= scenario.warm_up_factor
         return factor
 
-    def _is_grey(self, now: float) -> bool:
+    def _has_grey_failure(self, now: float) -> bool:
         return self._is_affected("grey", now) and self.rng.random() < GREY_FAILURE_SHARE
 
     def _is_affected(self, kind: str, now: float) -> bool:
--- a/hibiscusstep/load/log_analysis.py
+++ b/hibiscusstep/load/log_analysis.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from hibiscusstep.load.customer_use import CustomerUse
+from hibiscusstep.load.customer_usage import CustomerUsage
 
 __all__ = ["AttemptResult", "LogAnalysis", "analyze_log", "read_records"]
 
@@ -70,14 +70,14 @@
     ----------
     window : float
         Length of a window in seconds.
-    kinds, windows, places : dict of Counter
+    kinds, windows, results_by_location : dict of Counter
         Results by route and rank, by the window in which a request began, and by the
         data centre and role of the instance that ended it.
     never_ended : Counter
         Grants by window for which no line reports the end: their instances were lost.
     targets : dict of TargetFigures
         Figures of each target, by name.
-    use : CustomerUse
+    usage : CustomerUsage
         Usage of limits by customer.
     """
 
@@ -86,14 +86,14 @@
         default_factory=lambda: defaultdict(Counter)
     )
     windows: dict[float, Counter] = field(default_factory=lambda: defaultdict(Counter))
-    places: dict[tuple[str, str], Counter] = field(
+    results_by_location: dict[tuple[str, str], Counter] = field(
         default_factory=lambda: defaultdict(Counter)
     )
     never_ended: Counter = field(default_factory=Counter)
     targets: dict[str, TargetFigures] = field(
         default_factory=lambda: defaultdict(TargetFigures)
     )
-    use: CustomerUse = field(default_factory=CustomerUse)
+    usage: CustomerUsage = field(default_factory=CustomerUsage)
 
     def window_of(self, moment: float) -> float:
         """Return the start of the window that contains a moment, in seconds."""
@@ -106,19 +106,19 @@
         kind = (record.get("route", ""), int(record.get("rank", -1)))
         self.kinds[kind][result] += 1
         self.windows[self.window_of(began)][result] += 1
-        self.places[place][result] += 1
+        self.results_by_location[place][result] += 1
 
     def lines(self) -> Iterator[str]:
         """Yield the tables as text."""
         yield "route, rank | " + " | ".join(AttemptResult.ALL)
         for (route, rank), counts in sorted(self.kinds.items()):
-            yield f"{route or '-'}, {rank} | " + _cells(counts)
+            yield f"{route or '-'}, {rank} | " + _format_counts(counts)
         yield "from second | " + " | ".join(AttemptResult.ALL)
         for start, counts in sorted(self.windows.items()):
-            yield f"{start:g} | " + _cells(counts)
+            yield f"{start:g} | " + _format_counts(counts)
         yield "data centre, role | " + " | ".join(AttemptResult.ALL)
-        for (centre, role), counts in sorted(self.places.items()):
-            yield f"{centre or '-'}, {role} | " + _cells(counts)
+        for (centre, role), counts in sorted(self.results_by_location.items()):
+            yield f"{centre or '-'}, {role} | " + _format_counts(counts)
         yield "granted from second | never ended"
         for start, count in sorted(self.never_ended.items()):
             yield f"{start:g} | {count}"
@@ -134,11 +134,11 @@
             )
             yield f"{name} | " + " | ".join(map(str, cells))
         yield "customer | most tokens in a window | from second | limit"
-        for name, most in self.use.heaviest().items():
+        for name, most in self.usage.heaviest().items():
             yield f"{name} | {most.tokens} | {most.start:g} | {most.limit or '-'}"
 
 
-def _cells(counts: Counter) -> str:
+def _format_counts(counts: Counter) -> str:
     return " | ".join(str(counts[result]) for result in AttemptResult.ALL)
 
 
@@ -199,7 +199,7 @@
     def __init__(self, analysis: LogAnalysis) -> None:
         self._analysis = analysis
         self._first_time: float | None = None
-        self._centres: dict[str, str] = {}
+        self._data_centres: dict[str, str] = {}
         self._roles: dict[str, str] = {}
         # Granted requests that have not ended: time of the grant, and whether the
         # objective had already passed.
@@ -209,8 +209,8 @@
         """Process the next record."""
         if self._first_time is None:
             self._first_time = record["at"]
-        self._update_place(record)
-        self._analysis.use.read(record, record["at"] - self._first_time)
+        self._update_location(record)
+        self._analysis.usage.read(record, record["at"] - self._first_time)
         result = _result_of_record(record)
         if record["message"] == "attempt":
             _count_target(self._analysis, record, result)
@@ -228,14 +228,17 @@
         duration = record.get("seconds", 0.0) + record.get("waited", 0.0)
         began = max(0.0, record["at"] - duration - self._first_time)
         instance = record.get("instance", "")
-        place = self._centres.get(instance, ""), self._roles.get(instance, FOLLOWER)
+        place = (
+            self._data_centres.get(instance, ""),
+            self._roles.get(instance, FOLLOWER),
+        )
         self._analysis.count(record, result, began, place)
 
-    def _update_place(self, record: dict) -> None:
+    def _update_location(self, record: dict) -> None:
         instance = record.get("instance", "")
         match record["message"]:
             case "start":
-                self._centres[instance] = record.get("data_centre", "")
+                self._data_centres[instance] = record.get("data_centre", "")
                 self._roles.pop(instance, None)
             case "relay-role" if self._roles.get(instance) != DISPATCHER:
                 self._roles[instance] = RELAY if record.get("relay") else FOLLOWER
--- a/hibiscusstep/platform/client.py
+++ b/hibiscusstep/platform/client.py
@@ -36,13 +36,13 @@
 )
 
 __all__ = [
-    "ObjectBeliefs",
+    "ObjectEstimateStore",
     "ObjectClient",
     "ObjectFeed",
-    "ObjectRollouts",
-    "ObjectRoster",
-    "ObjectSuspects",
-    "ObjectUse",
+    "ObjectRolloutStore",
+    "ObjectInstanceDirectory",
+    "ObjectSuspectStore",
+    "ObjectUsageStore",
 ]
 
 _LOG = logging.getLogger(__name__)
@@ -307,7 +307,7 @@
         _LOG.error("object left out", extra={**extra, "error": str(cause)})
 
 
-class ObjectRoster(InstanceDirectory):
+class ObjectInstanceDirectory(InstanceDirectory):
     """Roster of the instances, which each write an object at their start.
 
     Parameters
@@ -340,7 +340,7 @@
         return await self._client.read_decoded(self._KIND, _parse_record)
 
 
-class ObjectBeliefs(EstimateStore):
+class ObjectEstimateStore(EstimateStore):
     """Store with one object per pool, which the pool's dispatcher writes.
 
     Parameters
@@ -360,7 +360,7 @@
 
     async def read_all(self) -> Result[dict[str, dict], PlatformError]:
         """Return the documents of all pools."""
-        return (await self._client.read_decoded(self._KIND, _parse_belief)).map(dict)
+        return (await self._client.read_decoded(self._KIND, _parse_estimates)).map(dict)
 
 
 class _SingleObjectStore:
@@ -389,21 +389,21 @@
         return await self._client.read_one(self._KIND, self._NAME)
 
 
-class ObjectUse(_SingleObjectStore, UsageStore):
+class ObjectUsageStore(_SingleObjectStore, UsageStore):
     """Store of the customers' usage."""
 
     _KIND = "hibiscusstep-use"
     _NAME = "customers"
 
 
-class ObjectSuspects(_SingleObjectStore, SuspectStore):
+class ObjectSuspectStore(_SingleObjectStore, SuspectStore):
     """Store of the quarantined requests."""
 
     _KIND = "hibiscusstep-suspects"
     _NAME = "requests"
 
 
-class ObjectRollouts(RolloutStore):
+class ObjectRolloutStore(RolloutStore):
     """Rollout orders written by operators, with status written by the system.
 
     Parameters
@@ -469,7 +469,7 @@
     )
 
 
-def _parse_belief(item: dict) -> tuple[str, dict]:
+def _parse_estimates(item: dict) -> tuple[str, dict]:
     return f.read_text(item["Metadata"], "Name"), item["Spec"]
 
 
--- a/hibiscusstep/platform/environment.py
+++ b/hibiscusstep/platform/environment.py
@@ -5,13 +5,13 @@
 
 from hibiscusstep.forwarding.environment import InstanceEnvironment
 from hibiscusstep.platform.client import (
-    ObjectBeliefs,
     ObjectClient,
+    ObjectEstimateStore,
     ObjectFeed,
-    ObjectRollouts,
-    ObjectRoster,
-    ObjectSuspects,
-    ObjectUse,
+    ObjectInstanceDirectory,
+    ObjectRolloutStore,
+    ObjectSuspectStore,
+    ObjectUsageStore,
 )
 from hibiscusstep.platform.documents import (
     CONFIGURATION_KIND,
@@ -51,7 +51,7 @@
     loaded = load_platform_settings(path)
     settings = loaded.instance
     client = ObjectClient(loaded.store_address)
-    roster = ObjectRoster(client, loaded.is_first_start)
+    directory = ObjectInstanceDirectory(client, loaded.is_first_start)
     record = InstanceRecord(
         settings.name,
         settings.data_centre,
@@ -66,14 +66,14 @@
         dialect=PlatformDialect(),
         tables=ObjectFeed(client, CONFIGURATION_KIND, decode_table),
         targets=ObjectFeed(client, TARGET_KIND, decode_target),
-        roster=roster,
-        beliefs=ObjectBeliefs(client),
-        use=ObjectUse(client),
-        suspects=ObjectSuspects(client),
-        rollouts=ObjectRollouts(
+        instance_directory=directory,
+        estimate_store=ObjectEstimateStore(client),
+        usage_store=ObjectUsageStore(client),
+        suspect_store=ObjectSuspectStore(client),
+        rollout_store=ObjectRolloutStore(
             client, ObjectFeed(client, ROLLOUT_KIND, decode_rollout)
         ),
-        register=lambda: roster.register(record),
+        register=lambda: directory.register(record),
         read_table=decode_table_bytes,
         read_bounds=lambda: load_platform_settings(path).bounds,
         on_store_restored=client.eras.set_on_restored,
--- a/hibiscusstep/rollout/answer_times.py
+++ b/hibiscusstep/rollout/answer_times.py
@@ -58,7 +58,7 @@
 
     def __init__(self) -> None:
         self._mean = INITIAL_SPREAD
-        self._square = INITIAL_SPREAD**2
+        self._mean_square = INITIAL_SPREAD**2
         self.count = 0
 
     def add(self, log_time: float) -> None:
@@ -66,11 +66,11 @@
         weight = max(MIN_SPREAD_WEIGHT, 1 / (INITIAL_SPREAD_COUNT + self.count))
         deviation = log_time - self._mean
         self._mean += weight * deviation
-        self._square += weight * (deviation**2 - self._square)
+        self._mean_square += weight * (deviation**2 - self._mean_square)
 
     def log_ratio(self, relative: RelativeTime, excess: float) -> float:
         """Return the log-likelihood ratio of a time if a share of answers is slow."""
-        variance = max(MIN_SPREAD**2, self._square)
+        variance = max(MIN_SPREAD**2, self._mean_square)
         variance *= 1 + FAST_VARIANCE / relative.sample_count
         shift = math.log(SLOW_FACTOR)
         power = shift * (relative.log_time - self._mean - shift / 2) / variance
--- a/hibiscusstep/standins/engine.py
+++ b/hibiscusstep/standins/engine.py
@@ -247,7 +247,7 @@
             while sent < job.produced:
                 await response.write(_format_event(job, active.model, sent))
                 sent += 1
-                if self._take_cut(sent - start):
+                if self._consume_cut(sent - start):
                     request.transport.abort()
                     raise ConnectionResetError("cut")
             if job.finished:
@@ -263,7 +263,7 @@
         if active.job.cancelled:
             raise ConnectionResetError("cancelled")
 
-    def _take_cut(self, sent: int) -> bool:
+    def _consume_cut(self, sent: int) -> bool:
         faults = self._faults
         if not faults.cut_after or faults.cuts <= 0 or sent < faults.cut_after:
             return False
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -13,10 +13,10 @@
 from hibiscusstep.forwarding.catalog import Catalog, TableUpdate, TargetUpdate
 from hibiscusstep.forwarding.model import DiscoveredTarget
 from hibiscusstep.platform.client import (
-    ObjectBeliefs,
     ObjectClient,
+    ObjectEstimateStore,
     ObjectFeed,
-    ObjectRoster,
+    ObjectInstanceDirectory,
 )
 from hibiscusstep.platform.documents import (
     decode_table,
@@ -181,16 +181,16 @@
 
     async def test_a_restarted_instance_writes_its_record_in_one_call(self, watched):
         record = InstanceRecord("n1", "zone-a", "127.0.0.1:7")
-        assert (await ObjectRoster(watched.client).register(record)).is_ok()
+        assert (await ObjectInstanceDirectory(watched.client).register(record)).is_ok()
         watched.store.calls.clear()
-        again = ObjectRoster(watched.client, is_first_start=False)
+        again = ObjectInstanceDirectory(watched.client, is_first_start=False)
         assert (await again.register(record)).is_ok()
         calls = [call for call in watched.store.calls if "instances" in call]
         assert len(calls) == 1
 
     async def test_an_added_instance_writes_its_record(self, watched):
         record = InstanceRecord("n2", "zone-a", "127.0.0.1:8")
-        later = ObjectRoster(watched.client, is_first_start=False)
+        later = ObjectInstanceDirectory(watched.client, is_first_start=False)
         assert (await later.register(record)).is_ok()
         assert ("hibiscusstep-instances", "n2") in watched.store.objects
 
@@ -450,30 +450,30 @@
 
 class TestRoster:
     async def test_a_malformed_record_hides_no_other(self, watched):
-        roster = ObjectRoster(watched.client)
+        directory = ObjectInstanceDirectory(watched.client)
         record = InstanceRecord("n1", "z", "127.0.0.1:7")
-        assert (await roster.register(record)).is_ok()
+        assert (await directory.register(record)).is_ok()
         kind = "hibiscusstep-instances"
         for n, spec in enumerate(("text", None, {"DataCentre": 1}, {"Capacity": "x"})):
             watched.store.put(kind, f"odd{n}", spec)
-        assert (await roster.instances()).unwrap() == [record]
+        assert (await directory.instances()).unwrap() == [record]
 
     async def test_a_malformed_document_hides_no_other(self, watched):
-        beliefs = ObjectBeliefs(watched.client)
-        assert (await beliefs.write("p", {"first": 1.0})).is_ok()
+        estimates = ObjectEstimateStore(watched.client)
+        assert (await estimates.write("p", {"first": 1.0})).is_ok()
         watched.store.objects["hibiscusstep-beliefs", "q"] = {"Metadata": {}}
-        assert (await beliefs.read_all()).unwrap() == {"p": {"first": 1.0}}
+        assert (await estimates.read_all()).unwrap() == {"p": {"first": 1.0}}
 
     async def test_instances_register_and_are_listed(self, watched):
-        roster = ObjectRoster(watched.client)
+        directory = ObjectInstanceDirectory(watched.client)
         for address in ("127.0.0.1:7", "127.0.0.1:8"):
             record = InstanceRecord("n1", "z", address)
-            assert (await roster.register(record)).is_ok()
-        assert (await roster.instances()).unwrap() == [record]
+            assert (await directory.register(record)).is_ok()
+        assert (await directory.instances()).unwrap() == [record]
 
     async def test_a_store_that_is_down_is_an_error(self, watched):
         watched.store.down = True
-        roster = ObjectRoster(watched.client)
-        assert (await roster.instances()).is_err()
+        directory = ObjectInstanceDirectory(watched.client)
+        assert (await directory.instances()).is_err()
         record = InstanceRecord("n1", "z", "127.0.0.1:7")
-        assert (await roster.register(record)).is_err()
+        assert (await directory.register(record)).is_err()
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -152,7 +152,7 @@
     async def _call_starting_instance(self, site):
         """Start a call to an instance that has no configuration yet."""
         await site.start(TargetStandIn("t1", lambda n, f, b: [answer(f)]))
-        # Without the roster it cannot get the configuration from its peer either.
+        # Without the directory it cannot get the configuration from its peer either.
         site.store.refused |= {"config", "hibiscusstep-instances"}
         await site.add_instance(wait=False)
         assert site.instances[1].version == 0
--- a/tests/test_forwarding_connections.py
+++ b/tests/test_forwarding_connections.py
@@ -87,7 +87,7 @@
         connection, _response, _body = await _exchange(pool, target)
         pool.release("t", connection, 0.0)
         connection.idle_until = 0.0
-        pool.sweep()
+        pool.close_expired()
         assert not connection.usable
         pool.close()
 
--- a/tests/test_log_analysis.py
+++ b/tests/test_log_analysis.py
@@ -86,7 +86,7 @@
 
     def test_counts_by_data_centre_and_role(self):
         ends = (_attempt(5, instance="n1"), _attempt(6, instance="n2", request="r2"))
-        places = analyze_log([*self.LINES, *ends]).places
+        places = analyze_log([*self.LINES, *ends]).results_by_location
         assert places == {
             ("east", "relay"): {AttemptResult.IN_TIME: 1},
             ("west", "dispatcher"): {AttemptResult.IN_TIME: 1},
@@ -94,7 +94,9 @@
 
     def test_a_restarted_instance_is_a_follower(self):
         again = _line(4, "start", instance="n2", data_centre="west")
-        places = analyze_log([*self.LINES, again, _attempt(5, instance="n2")]).places
+        places = analyze_log(
+            [*self.LINES, again, _attempt(5, instance="n2")]
+        ).results_by_location
         assert list(places) == [("west", "follower")]
 
     def test_counts_grants_of_requests_that_never_end(self):
@@ -142,9 +144,9 @@
         assert plot.stat().st_size > 1000
 
 
-class TestCustomerUse:
+class TestCustomerUsage:
     def _use(self, *lines):
-        return analyze_log([_line(0, "start"), *lines]).use.heaviest()
+        return analyze_log([_line(0, "start"), *lines]).usage.heaviest()
 
     def _sent_attempt(self, second, counted, **fields):
         return _attempt(second, customer="c", counted=counted, **fields)
--- a/tests/test_mechanisms_off.py
+++ b/tests/test_mechanisms_off.py
@@ -15,7 +15,7 @@
 from hibiscusstep.caller_server import CallerServer
 from hibiscusstep.configuration.in_force import ConfigurationInForce
 from hibiscusstep.configuration.stored import StoredConfiguration
-from hibiscusstep.configuration.updater import ConfigurationUpdater, _Seen
+from hibiscusstep.configuration.updater import ConfigurationUpdater, _ConfigurationRead
 from hibiscusstep.events import EventKind
 from hibiscusstep.load.drive import Result, State, _check_answer
 from hibiscusstep.load.mix import Arrival, RequestClass
@@ -70,7 +70,7 @@
                 ConfigurationUpdater, "_apply_version", accept_any_version
             )
             cluster.instances["e0"]._configuration_updater.tell(
-                _Seen(old.version, old.value)
+                _ConfigurationRead(old.version, old.value)
             )
             await wait_until(lambda: "configuration" in promises(cluster))
 
--- a/tests/test_saved_usage.py
+++ b/tests/test_saved_usage.py
@@ -6,7 +6,7 @@
 from quota_region import FakeUseStore
 
 from hibiscusstep.forwarding.saved_usage import (
-    ReadUse,
+    ReadUsage,
     SavedUsage,
     SavedUsagePlanner,
     SavedUsageWorker,
@@ -79,8 +79,8 @@
         writer, _ = self._worker(store)
         await writer.handle(SaveUsage(self._USAGE))
         reader, read_results = self._worker(store)
-        await reader.handle(ReadUse())
-        await reader.handle(ReadUse())
+        await reader.handle(ReadUsage())
+        await reader.handle(ReadUsage())
         assert read_results == [SavedUsage(self._USAGE)]
         assert store.reads == 1
 
@@ -88,7 +88,7 @@
         store = FakeUseStore()
         store.unavailable = True
         worker, read_results = self._worker(store)
-        await worker.handle(ReadUse())
+        await worker.handle(ReadUsage())
         await worker.handle(SaveUsage(self._USAGE))
         store.unavailable = False
         await worker.handle(Tick())
@@ -109,5 +109,5 @@
         store = FakeUseStore()
         store.document = document
         worker, read_results = self._worker(store)
-        await worker.handle(ReadUse())
+        await worker.handle(ReadUsage())
         assert read_results[0].usage.customers == []
