--- a/hibiscusstep/dispatcher_host.py
+++ b/hibiscusstep/dispatcher_host.py
@@ -47,7 +47,7 @@
 from hibiscusstep.peerlink import Send
 from hibiscusstep.rollout.rollout_update import RolloutUpdate
 from hibiscusstep.routing import messages as m
-from hibiscusstep.target import get_target_by_kind
+from hibiscusstep.target import get_client_class
 
 if TYPE_CHECKING:
     from hibiscusstep.configuration.models import Configuration
@@ -234,8 +234,8 @@
             )
             if may_decide and not hosted.dispatcher.recovered:
                 self._recover(hosted)
-            self._drop_silent_instances(hosted, now)
-            self._feed(hosted, m.Tick())
+            self._drop_unreachable_instances(hosted, now)
+            self._feed(hosted, m.TimePassed())
             self._send_keepalives(hosted, now)
             self._report_rollout(hosted, now)
             if (
@@ -246,14 +246,14 @@
                 self._log_state(hosted, now)
                 self._send_estimates(hosted)
 
-    def _drop_silent_instances(self, hosted: HostedDispatcher, now: float) -> None:
-        """Drop the requests of silent instances where there is no full mesh."""
+    def _drop_unreachable_instances(self, hosted: HostedDispatcher, now: float) -> None:
+        """Drop the requests of unreachable instances where there is no full mesh."""
         if self._view.is_mesh:
             return
-        silent = [
+        unreachable = [
             n for n, at in hosted.last_heard_at.items() if now - at > INSTANCE_TIMEOUT_S
         ]
-        for name in silent:
+        for name in unreachable:
             del hosted.last_heard_at[name]
             self._feed(hosted, m.InstanceGone(name))
 
@@ -345,7 +345,7 @@
         if pool not in self._standby_hosted:
             hosted = HostedDispatcher(
                 self._make_dispatcher(
-                    pool, self._configuration, standalone_instance=self._own_name
+                    pool, self._configuration, standby_instance=self._own_name
                 )
             )
             self._standby_hosted[pool] = hosted
@@ -490,10 +490,10 @@
             settings = self._configuration.pools.get(pool)
             if settings is None:
                 return
-            target_class = get_target_by_kind(settings.kind)
+            client_class = get_client_class(settings.kind)
             reports = await asyncio.gather(
                 *(
-                    target_class(name, target.address, self._sessions).report()
+                    client_class(name, target.address, self._sessions).report()
                     for name, target in settings.targets.items()
                 )
             )
--- a/hibiscusstep/forwarding/grant_client.py
+++ b/hibiscusstep/forwarding/grant_client.py
@@ -105,7 +105,7 @@
         while True:
             if self._quarantine_status.is_quarantined:
                 return self._quarantine_refusal()
-            if seconds := await self._wait_for_available_target():
+            if seconds := await self._wait_for_target_after_backoff():
                 return Refusal(seconds, "all targets asked this instance to back off")
             reply = await self._request_grant()
             if isinstance(reply, Refused):
@@ -156,7 +156,7 @@
         max_wait = GRANT_WAIT_SHARE * self._incoming.route.objective
         return min(started + max_wait, self._incoming.deadline)
 
-    async def _wait_for_available_target(self) -> float:
+    async def _wait_for_target_after_backoff(self) -> float:
         """Wait while all targets of the pool have asked this instance to back off.
 
         Returns
@@ -214,7 +214,7 @@
             incoming.deadline,
         )
         try:
-            reply = await self._context.desk.ask(grant_request)
+            reply = await self._context.dispatch_client.ask(grant_request)
         except MailboxFull:
             reply = Refused(m.RefusalReason.LOAD, 1.0)
         if isinstance(reply, Granted):
@@ -237,7 +237,7 @@
         """Report the first event of the response to the dispatcher."""
         if self._grant is not None:
             seconds = self._now() - self.granted_at
-            self._context.desk.tell(
+            self._context.dispatch_client.tell(
                 FirstTokenReceived(self._incoming.pool, self._grant.ask, seconds)
             )
 
@@ -269,7 +269,7 @@
             longest_pause=timing.longest_pause if timing and first else 0.0,
         )
         self._grant = None
-        self._context.desk.tell(ended)
+        self._context.dispatch_client.tell(ended)
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/hibiscusstep/load/rollout_emulator.py
+++ b/hibiscusstep/load/rollout_emulator.py
@@ -12,15 +12,6 @@
 
 from hibiscusstep.forwarding.model import DiscoveredTarget
 from hibiscusstep.forwarding.pool_versions import PoolVersionTable
-from hibiscusstep.load.drawn_rollout import (
-    NEW_VERSION,
-    OLD_VERSION,
-    ORDER_AT_S,
-    Defect,
-    Disturbance,
-    RolloutScenario,
-    Route,
-)
 from hibiscusstep.load.emulated_target import (
     CALLER_TIMEOUT_S,
     PROMPT_TOKENS,
@@ -29,6 +20,15 @@
     EmulatedTarget,
 )
 from hibiscusstep.load.rollout_result import TOLERATED_BAD_ANSWERS, RolloutResult
+from hibiscusstep.load.rollout_scenario import (
+    NEW_VERSION,
+    OLD_VERSION,
+    ORDER_AT_S,
+    Defect,
+    Disturbance,
+    EmulatedRoute,
+    RolloutScenario,
+)
 from hibiscusstep.rollout.budget import ExposureLimits
 from hibiscusstep.rollout.order import RolloutOrder, RolloutState
 from hibiscusstep.routing import messages as m
@@ -84,7 +84,7 @@
         self._stale_plan: DispatchPlan | None = None
         self._revision = 1
         self._completed = False
-        self._requests: dict[str, tuple[Route, float, str]] = {}
+        self._requests: dict[str, tuple[EmulatedRoute, float, str]] = {}
         # Standby dispatchers of the partitioned instances.
         self._partition_dispatchers: dict[str, SlotDispatcher] = {}
         self._tolerance_reached_at = 0.0
@@ -161,14 +161,12 @@
         )
         return DispatchPlan({POOL: pool})
 
-    def _create_dispatcher(self, standalone_instance: str = "") -> SlotDispatcher:
+    def _create_dispatcher(self, standby_instance: str = "") -> SlotDispatcher:
         plan = (
-            self._stale_plan
-            if standalone_instance and self._stale_plan
-            else self._plan()
+            self._stale_plan if standby_instance and self._stale_plan else self._plan()
         )
-        dispatcher = SlotDispatcher(POOL, plan, standalone_instance=standalone_instance)
-        if standalone_instance:
+        dispatcher = SlotDispatcher(POOL, plan, standby_instance=standby_instance)
+        if standby_instance:
             dispatcher.capacity_share = min(1.0, 2.0 / self._scenario.instances)
         dispatcher.handle(m.Recovered(), self._now)
         return dispatcher
@@ -187,7 +185,7 @@
     def _tick(self) -> None:
         for dispatcher in (self._dispatcher, *self._partition_dispatchers.values()):
             if dispatcher:
-                self._deliver(dispatcher, m.Tick())
+                self._deliver(dispatcher, m.TimePassed())
         rollout = self._dispatcher.rollout if self._dispatcher else None
         if rollout and self._now >= self._progress_at + PROGRESS_INTERVAL_S:
             self._progress_at = self._now
@@ -316,7 +314,7 @@
             self._result.bad_answers += 1
             if self._result.bad_answers == TOLERATED_BAD_ANSWERS:
                 self._tolerance_reached_at = self._now
-        if dispatcher is not self._dispatcher and not dispatcher.is_standalone:
+        if dispatcher is not self._dispatcher and not dispatcher.is_standby:
             dispatcher = self._dispatcher
         if dispatcher:
             decoding = max(0.0, run.seconds - run.first)
--- a/hibiscusstep/routing/slot_dispatcher.py
+++ b/hibiscusstep/routing/slot_dispatcher.py
@@ -40,14 +40,14 @@
 
 
 # Messages that may lengthen the wait of queued requests or let their deadlines pass.
-_EXPIRY_TRIGGERS = (m.RequestGrant, m.Tick, m.Recovered, m.Configure)
+_EXPIRY_TRIGGERS = (m.RequestGrant, m.TimePassed, m.Recovered, m.Configure)
 # Messages after which a target may become available for a queued request. Changes that
 # depend only on time are handled with each tick.
 _GRANT_TRIGGERS = (
     m.Finished,
     m.HeldGrants,
     m.InstanceGone,
-    m.Tick,
+    m.TimePassed,
     m.Recovered,
     m.Configure,
     m.Withdraw,
@@ -70,7 +70,7 @@
         The pool.
     plan : DispatchPlan
         The targets of the pool.
-    standalone_instance : str
+    standby_instance : str
         Name of the instance if this is its standby dispatcher, used while the pool's
         dispatcher is unreachable; empty for the pool's dispatcher.
     switches : Switches
@@ -81,16 +81,16 @@
         self,
         pool_name: str,
         plan: DispatchPlan,
-        standalone_instance: str = "",
+        standby_instance: str = "",
         switches: Switches = ALL_ENABLED,
         **_options,
     ) -> None:
         super().__init__(pool_name)
-        uses_subset = standalone_instance and switches.spread_alone
-        self._target_subset = TargetSubset(standalone_instance) if uses_subset else None
+        uses_subset = standby_instance and switches.spread_alone
+        self._target_subset = TargetSubset(standby_instance) if uses_subset else None
         self._subset_targets: list[SlotTarget] = []
         self._subset_updated_at = -math.inf
-        self._standalone_name = standalone_instance
+        self._standby_instance = standby_instance
         self._switches = switches
         self._queue = SlotQueue()
         self._refused_requests = RefusedRequests()
@@ -103,7 +103,7 @@
         self._imported_slowness: dict[str, float] = {}
         self._service_rate = 0.0
         self._service_rate_updated_at = -math.inf
-        self._partition = VersionPartition(self._selector, bool(standalone_instance))
+        self._partition = VersionPartition(self._selector, bool(standby_instance))
         # A dict lookup: a dispatching decorator costs 7 us per message.
         self._handlers = {
             m.RequestGrant: self._enqueue,
@@ -117,7 +117,7 @@
             m.Recovered: self._recover,
             m.InstanceGone: self._instance_gone,
             m.Configure: self._reconfigure,
-            m.Tick: self._tick,
+            m.TimePassed: self._tick,
             m.SuspectPartition: self._ignore,
         }
         self._configure(plan, 0.0)
@@ -143,9 +143,9 @@
         return self._grant_monitor.overdue
 
     @property
-    def is_standalone(self) -> bool:
+    def is_standby(self) -> bool:
         """Whether this is the standby dispatcher of a single instance."""
-        return self._standalone_name != ""
+        return self._standby_instance != ""
 
     @property
     def rollout(self) -> Rollout | None:
@@ -297,7 +297,7 @@
     def _reconfigure(self, message: m.Configure, now: float) -> None:
         self._configure(message.configuration, now)
 
-    def _tick(self, message: m.Tick, now: float) -> None:
+    def _tick(self, message: m.TimePassed, now: float) -> None:
         """Advance the rollout, inquire about overdue grants and release lost ones."""
         if self._recovered and (conclusion := self._partition.tick(self._targets, now)):
             self._decisions.append(conclusion)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -23,9 +23,7 @@
 
 sys.path[:0] = [str(Path(__file__).parent.parent / "examples")]
 
-from soak_ledger import ROLLBACK_S, CallerResult, Ledger  # noqa: E402
-from soak_proxy import Mode  # noqa: E402
-from soak_world import (  # noqa: E402
+from soak_environment import (  # noqa: E402
     CRASH_FIELD,
     LEAVING_FIELD,
     POOL,
@@ -33,6 +31,8 @@
     START_FIELD,
     SoakEnvironment,
 )
+from soak_ledger import ROLLBACK_S, CallerResult, Ledger  # noqa: E402
+from soak_proxy import Mode  # noqa: E402
 
 KINDS = ("safe", "once", "resume", "stream")
 CUSTOMERS = {"key-one": "one", "key-uno": "one", "key-two": "two", "key-none": ""}
@@ -84,7 +84,7 @@
         name = f"r{self._number}-{kind}"
         key = key or self._rng.choice(list(CUSTOMERS))
         result = CallerResult(kind, CUSTOMERS[key], where=instance.name)
-        self._ledger.seen[name] = result
+        self._ledger.results[name] = result
         fields = {
             "Host": "h.example",
             "X-Request-Id": name,
@@ -209,7 +209,7 @@
                 instance.store.reset()
 
     async def _silence(self, span):
-        self._instance().store.silence_open()
+        self._instance().store.silence_open_connections()
 
     async def _target_fault(self, span):
         target = self._rng.choice(self._world.targets)
@@ -318,14 +318,14 @@
                     target.fault = "grey"
             ledger.versions.add(version)
             duration = 4.0 + span
-            world.store.order(POOL, version, duration)
+            world.store.order_rollout(POOL, version, duration)
             state = await self._wait_final_state(version, duration)
             self.timeline.append(f"{version} {state or 'without an end'}")
             if state == "completed":
                 world.version_number = len(ledger.versions)
                 await world.stop_version(before)
                 return
-            ledger.taken_back[version] = time.monotonic()
+            ledger.rolled_back_at[version] = time.monotonic()
             await asyncio.sleep(1.0)
             world.drain_version(version)
             await asyncio.sleep(ROLLBACK_S + span)
@@ -336,12 +336,12 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(duration + ROLLOUT_GRACE_S):
                 while True:
-                    status = self._world.store.status(POOL)
+                    status = self._world.store.rollout_status(POOL)
                     state = status.get("State")
                     if state != "running" and status.get("To") == version:
                         return state
                     await asyncio.sleep(0.02)
-        self._world.ledger.late.append("a rollout order that did not end")
+        self._world.ledger.late_requests.append("a rollout order that did not end")
         return ""
 
     async def _store_restored(self, span):
@@ -394,7 +394,7 @@
         ]
     findings += ledger.findings()
     statuses = {}
-    for result in ledger.seen.values():
+    for result in ledger.results.values():
         statuses[result.status] = statuses.get(result.status, 0) + 1
     served = f"{count} instances, {dict(sorted(statuses.items()))}"
     return findings, [served, *fault_schedule.timeline]
