--- a/hibiscusstep/forwarding/dialect.py
+++ b/hibiscusstep/forwarding/dialect.py
@@ -120,7 +120,7 @@
 
     @abstractmethod
     def target_request_fields(
-        self, raw: Headers, order: TargetRequestHead
+        self, raw: Headers, head: TargetRequestHead
     ) -> Iterable[tuple[bytes, bytes]]:
         """Return the header fields to send to a target, without hop-by-hop fields."""
 
--- a/hibiscusstep/forwarding/environment.py
+++ b/hibiscusstep/forwarding/environment.py
@@ -37,9 +37,9 @@
         The configuration and the targets' entries in the store.
     roster : InstanceDirectory
         Registered instances.
-    beliefs : EstimateStore
+    estimates : EstimateStore
         Persists the dispatchers' estimates of target speeds.
-    use : UsageStore
+    usage : UsageStore
         Persists the customers' usage of their quotas.
     suspects : SuspectStore
         Persists which requests crash targets.
@@ -68,8 +68,8 @@
     tables: Feed
     targets: Feed
     roster: InstanceDirectory
-    beliefs: EstimateStore
-    use: UsageStore
+    estimates: EstimateStore
+    usage: UsageStore
     suspects: SuspectStore
     rollouts: RolloutStore
     register: Callable
--- a/hibiscusstep/forwarding/grant_client.py
+++ b/hibiscusstep/forwarding/grant_client.py
@@ -200,7 +200,7 @@
             list(self._avoid),
             data_centre=self._context.data_centre,
             identity=incoming.identity,
-            suspect=self._quarantine_status.suspect,
+            suspect=self._quarantine_status.suspect_fingerprint,
             resting=self._context.target_backoff.names_backing_off(self._now()),
             route=incoming.route.name,
         )
@@ -245,7 +245,7 @@
         self,
         outcome: m.GrantOutcome,
         timing: StreamTiming | None = None,
-        first: bool = False,
+        from_one_target: bool = False,
     ) -> None:
         """Return the grant to the dispatcher.
 
@@ -255,7 +255,7 @@
             How the attempt ended.
         timing : StreamTiming or None
             Timing of the response's events; None if nothing was sent.
-        first : bool
+        from_one_target : bool
             Whether all of these events came from one target.
         """
         if self._grant is None:
@@ -266,7 +266,7 @@
             outcome,
             timing.events if timing else 0,
             timing.decode_seconds if timing else 0.0,
-            longest_pause=timing.longest_pause if timing and first else 0.0,
+            longest_pause=timing.longest_pause if timing and from_one_target else 0.0,
         )
         self._grant = None
         self._context.desk.tell(ended)
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -296,7 +296,7 @@
             lambda: self._catalog.revision if self._targets_known else 0,
         )
         self._estimate_keeper = EstimateKeeper(
-            self._environment.beliefs,
+            self._environment.estimates,
             lambda estimates: self._dispatcher_host.tell(estimates),
         )
         self._rollouts = RolloutCoordinator(
@@ -325,7 +325,7 @@
             DISPATCHER_TIMEOUT_S,
         )
         self._usage_worker = SavedUsageWorker(
-            self._environment.use,
+            self._environment.usage,
             bounds.quota_window,
             lambda usage: self._quotas.tell(usage),
         )
--- a/hibiscusstep/forwarding/quarantine_status.py
+++ b/hibiscusstep/forwarding/quarantine_status.py
@@ -47,7 +47,7 @@
         return not quarantine.is_empty and quarantine.is_quarantined(self._fingerprint)
 
     @property
-    def suspect(self) -> int:
+    def suspect_fingerprint(self) -> int:
         """Fingerprint if any crash counts against the request, else 0."""
         quarantine = self._quarantine
         if quarantine.is_empty or not quarantine.is_suspected(self._fingerprint):
--- a/hibiscusstep/forwarding/quota.py
+++ b/hibiscusstep/forwarding/quota.py
@@ -11,7 +11,7 @@
 from hibiscusstep.forwarding.quota_request import TokenReservation
 from hibiscusstep.forwarding.reachability import Reachability
 from hibiscusstep.forwarding.saved_usage import (
-    ReadUse,
+    ReadUsage,
     SavedUsage,
     SavedUsagePlanner,
     SaveUsage,
@@ -42,9 +42,9 @@
 RELAYED_HOPS = 3
 # Each instance logs the usage of the customers nearest to their limits: at most this
 # many, from this share of the limit on, every this many intervals (one second).
-LOG_USE_MAX_CUSTOMERS = 3
-LOG_USE_MIN_SHARE = 0.5
-LOG_USE_EVERY = 5
+LOG_USAGE_MAX_CUSTOMERS = 3
+LOG_USAGE_MIN_SHARE = 0.5
+LOG_USAGE_EVERY = 5
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +74,7 @@
         Sends messages to peers.
     bounds : Bounds
         Window and allowed overage.
-    use_store : Worker or None
+    usage_worker : Worker or None
         Reads and writes the saved usage; None if there is no store.
     """
 
@@ -84,13 +84,13 @@
         address: str,
         links: Worker,
         bounds: Bounds,
-        use_store: Worker | None = None,
+        usage_worker: Worker | None = None,
     ) -> None:
         super().__init__("quota-keeper", tick_interval=SEND_INTERVAL_S)
         self._incarnation = incarnation
         self._address = address
         self._links = links
-        self._use_store = use_store
+        self._usage_worker = usage_worker
         now = asyncio.get_running_loop().time()
         self._ledger = UsageLedger(incarnation, bounds.quota_window, now)
         self._reachability = Reachability(now)
@@ -173,7 +173,7 @@
         self._query_history(now)
         self._send_changes()
         self._write_usage(now)
-        if self._ticks % LOG_USE_EVERY == 0:
+        if self._ticks % LOG_USAGE_EVERY == 0:
             self._log_usage(now)
 
     def _process_view(self, view: View, now: float) -> None:
@@ -206,10 +206,10 @@
 
     def _request_stored_usage(self, now: float) -> None:
         """Request the saved usage unless there is a relay or the window is known."""
-        if self._use_store is None or self._ledger.knows_window(now):
+        if self._usage_worker is None or self._ledger.knows_window(now):
             return
         if self._view.role_known and not self._view.parent:
-            self._use_store.tell(ReadUse())
+            self._usage_worker.tell(ReadUsage())
 
     def _query(self, address: str) -> None:
         """Query a neighbour for its usage history, at most once per tick."""
@@ -318,8 +318,8 @@
             for name, rule in self._rules.items()
             if rule.quota.rate and self._ledger.own_usage(name, now)
         }
-        near = [name for name, share in shares.items() if share >= LOG_USE_MIN_SHARE]
-        for name in heapq.nlargest(LOG_USE_MAX_CUSTOMERS, near, key=shares.get):
+        near = [name for name, share in shares.items() if share >= LOG_USAGE_MIN_SHARE]
+        for name in heapq.nlargest(LOG_USAGE_MAX_CUSTOMERS, near, key=shares.get):
             decision("customer-use", **self._usage_fields(self._rules[name], now))
 
     def _usage_fields(self, customer: CustomerRule, now: float) -> dict:
@@ -405,7 +405,7 @@
 
     def _write_usage(self, now: float) -> None:
         """Store the usage of customers near their limits, if this instance has to."""
-        if self._use_store is None or not self._ledger.knows_history(now):
+        if self._usage_worker is None or not self._ledger.knows_history(now):
             return
         if not self._view.has_duty("customers' use", self._address):
             return
@@ -419,7 +419,7 @@
         }
         document = self._planner.next_document(self._ledger, limits, now)
         if document is not None:
-            self._use_store.tell(SaveUsage(document))
+            self._usage_worker.tell(SaveUsage(document))
 
 
 def _changed_names(totals: dict[str, int], sent_totals: dict[str, int]) -> list[str]:
--- a/hibiscusstep/forwarding/quota_request.py
+++ b/hibiscusstep/forwarding/quota_request.py
@@ -67,7 +67,7 @@
         Id of the request, for the log.
     """
 
-    __slots__ = ("_customer", "_limiter", "_request", "_ticket", "_tokens")
+    __slots__ = ("_customer", "_limiter", "_request", "_reservation", "_tokens")
 
     def __init__(
         self, limiter: QuotaLimiter, customer: CustomerRule, tokens: int, request: str
@@ -76,7 +76,7 @@
         self._customer = customer
         self._tokens = tokens
         self._request = request
-        self._ticket: TokenReservation | None = None
+        self._reservation: TokenReservation | None = None
 
     @property
     def tokens(self) -> int:
@@ -89,18 +89,18 @@
 
     def reserve(self) -> bool:
         """Reserve the tokens unless they already are; return whether they are."""
-        if self._ticket is None:
-            self._ticket = self._limiter.reserve(
+        if self._reservation is None:
+            self._reservation = self._limiter.reserve(
                 self._customer, self._tokens, self._request
             )
-        return self._ticket is not None
+        return self._reservation is not None
 
     def commit(self) -> None:
         """Count the tokens as used, once."""
-        if self._ticket is not None:
-            self._ticket.commit()
+        if self._reservation is not None:
+            self._reservation.commit()
 
     def release(self) -> None:
         """Return the tokens to the quota if they were reserved but not used."""
-        if self._ticket is not None:
-            self._ticket.release()
+        if self._reservation is not None:
+            self._reservation.release()
--- a/hibiscusstep/forwarding/saved_usage.py
+++ b/hibiscusstep/forwarding/saved_usage.py
@@ -13,7 +13,7 @@
 from hibiscusstep.store import UsageStore
 
 __all__ = [
-    "ReadUse",
+    "ReadUsage",
     "SaveUsage",
     "SavedUsage",
     "SavedUsagePlanner",
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReadUse:
+class ReadUsage:
     """Requests that the saved usage is read, once."""
 
 
@@ -156,7 +156,7 @@
     async def handle(self, message) -> None:
         """Process a read request, usage to write, or a tick."""
         match message:
-            case ReadUse():
+            case ReadUsage():
                 first_request, self._read_requested = not self._read_requested, True
                 if first_request:
                     await self._read_store()
--- a/hibiscusstep/platform/client.py
+++ b/hibiscusstep/platform/client.py
@@ -36,13 +36,13 @@
 )
 
 __all__ = [
-    "ObjectBeliefs",
     "ObjectClient",
+    "ObjectEstimates",
     "ObjectFeed",
     "ObjectRollouts",
     "ObjectRoster",
     "ObjectSuspects",
-    "ObjectUse",
+    "ObjectUsage",
 ]
 
 _LOG = logging.getLogger(__name__)
@@ -340,7 +340,7 @@
         return await self._client.read_decoded(self._KIND, _parse_record)
 
 
-class ObjectBeliefs(EstimateStore):
+class ObjectEstimates(EstimateStore):
     """Store of estimates, one object per pool, which the pool's dispatcher writes.
 
     Parameters
@@ -389,7 +389,7 @@
         return await self._client.read_one(self._KIND, self._NAME)
 
 
-class ObjectUse(_SingleObjectStore, UsageStore):
+class ObjectUsage(_SingleObjectStore, UsageStore):
     """Store of the customers' usage."""
 
     _KIND = "hibiscusstep-use"
--- a/hibiscusstep/platform/environment.py
+++ b/hibiscusstep/platform/environment.py
@@ -5,13 +5,13 @@
 
 from hibiscusstep.forwarding.environment import InstanceEnvironment
 from hibiscusstep.platform.client import (
-    ObjectBeliefs,
     ObjectClient,
+    ObjectEstimates,
     ObjectFeed,
     ObjectRollouts,
     ObjectRoster,
     ObjectSuspects,
-    ObjectUse,
+    ObjectUsage,
 )
 from hibiscusstep.platform.documents import (
     CONFIGURATION_KIND,
@@ -67,8 +67,8 @@
         tables=ObjectFeed(client, CONFIGURATION_KIND, decode_table),
         targets=ObjectFeed(client, TARGET_KIND, decode_target),
         roster=roster,
-        beliefs=ObjectBeliefs(client),
-        use=ObjectUse(client),
+        estimates=ObjectEstimates(client),
+        usage=ObjectUsage(client),
         suspects=ObjectSuspects(client),
         rollouts=ObjectRollouts(
             client, ObjectFeed(client, ROLLOUT_KIND, decode_rollout)
--- a/hibiscusstep/platform/headers.py
+++ b/hibiscusstep/platform/headers.py
@@ -49,16 +49,16 @@
             prompt_parts=headers.get("X-Prompt-Prefix", ""),
         )
 
-    def target_request_fields(self, raw, order: TargetRequestHead):
+    def target_request_fields(self, raw, head: TargetRequestHead):
         """Return the caller's end-to-end fields and those that the system adds."""
         fields = [(k, v) for k, v in raw if k.lower() not in _DROPPED_FIELDS]
-        milliseconds = max(1, int(order.timeout * 1000))
+        milliseconds = max(1, int(head.timeout * 1000))
         fields.append((b"X-Request-Deadline-Ms", str(milliseconds).encode()))
-        fields.append((b"X-Target-Instance", order.target.encode()))
-        if order.customer:
-            fields.append((b"X-Tenant", order.customer.encode()))
-        if order.last_event_id:
-            fields.append((b"Last-Event-Id", order.last_event_id.encode()))
+        fields.append((b"X-Target-Instance", head.target.encode()))
+        if head.customer:
+            fields.append((b"X-Tenant", head.customer.encode()))
+        if head.last_event_id:
+            fields.append((b"Last-Event-Id", head.last_event_id.encode()))
         return fields
 
     def read_response(self, status: int, headers) -> TargetResponseHead:
--- a/tests/quota_region.py
+++ b/tests/quota_region.py
@@ -41,7 +41,7 @@
         self.sent.append(send)
 
 
-class FakeUseStore(UsageStore):
+class FakeDocumentStore(UsageStore):
     """A store that counts its calls and fails while `unavailable` is set."""
 
     def __init__(self):
@@ -71,7 +71,7 @@
     worker: SavedUsageWorker
     started: float
     next_tick: float
-    told: tuple = ()
+    last_view_values: tuple = ()
     seen: frozenset = field(default_factory=frozenset)
     silent: set = field(default_factory=set)
 
@@ -96,20 +96,20 @@
         Quota of the customer in tokens per second; its burst is as many tokens.
     seed : int
         Seed of the requests.
-    kept : bool
+    has_store : bool
         Whether there is a store for the usage.
     """
 
     WINDOW_S = 8.0
 
-    def __init__(self, count, monkeypatch, rate=60_000.0, seed=1, kept=False):
+    def __init__(self, count, monkeypatch, rate=60_000.0, seed=1, has_store=False):
         self.now = 1000.0
         monkeypatch.setattr(asyncio.get_running_loop(), "time", lambda: self.now)
         self.bounds = Bounds(
             quota_window=self.WINDOW_S, quota_overage=0.1, quota_slack=140_000.0
         )
         self.rule = CustomerRule("c", frozenset(), None, Quota(rate, rate, 10))
-        self.store = FakeUseStore() if kept else None
+        self.store = FakeDocumentStore() if has_store else None
         self.history = []
         self.refused = 0
         self.asked = 0
@@ -181,9 +181,9 @@
             instance.silent = (instance.silent | lost) - seen
             instance.seen = seen
             view_values = seen, len(instance.silent), self._listed(instance)
-            if view_values == instance.told:
+            if view_values == instance.last_view_values:
                 continue
-            instance.told = view_values
+            instance.last_view_values = view_values
             view = self.view(number, *view_values)
             await instance.limiter.handle(ViewChanged(view))
             await instance.limiter.handle(CustomersChanged((self.rule,)))
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -13,8 +13,8 @@
 from hibiscusstep.forwarding.catalog import Catalog, TableUpdate, TargetUpdate
 from hibiscusstep.forwarding.model import DiscoveredTarget
 from hibiscusstep.platform.client import (
-    ObjectBeliefs,
     ObjectClient,
+    ObjectEstimates,
     ObjectFeed,
     ObjectRoster,
 )
@@ -459,7 +459,7 @@
         assert (await roster.instances()).unwrap() == [record]
 
     async def test_a_malformed_document_hides_no_other(self, watched):
-        estimates = ObjectBeliefs(watched.client)
+        estimates = ObjectEstimates(watched.client)
         assert (await estimates.write("p", {"first": 1.0})).is_ok()
         watched.store.objects["hibiscusstep-beliefs", "q"] = {"Metadata": {}}
         assert (await estimates.read_all()).unwrap() == {"p": {"first": 1.0}}
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from quota_region import FakeUseStore
+from quota_region import FakeDocumentStore
 
 from hibiscusstep import codec
 from hibiscusstep.forwarding.crash_detector import InterruptedAttempt
@@ -44,7 +44,7 @@
     """Quarantines by instance name; messages are delivered without delay."""
 
     def __init__(self):
-        self.store = FakeUseStore()
+        self.store = FakeDocumentStore()
         self.members = {}
         self._tasks = set()
 
--- a/tests/test_quota_restarts.py
+++ b/tests/test_quota_restarts.py
@@ -17,8 +17,8 @@
 SEEDS = range(1, 6)
 
 
-async def _burst_then_restart_all(monkeypatch, seed, burst_s, kept=False):
-    region = QuotaRegion(6, monkeypatch, seed=seed, kept=kept)
+async def _burst_then_restart_all(monkeypatch, seed, burst_s, has_store=False):
+    region = QuotaRegion(6, monkeypatch, seed=seed, has_store=has_store)
     await region.play(20.0, demand=NORMAL)
     await region.play(burst_s, demand=OVERLOAD)
     await _restart_all(region)
@@ -66,7 +66,7 @@
 class TestPartition:
     async def test_both_sides_together_stay_within_the_limit(self, monkeypatch):
         for seed in SEEDS:
-            region = QuotaRegion(6, monkeypatch, seed=seed, kept=True)
+            region = QuotaRegion(6, monkeypatch, seed=seed, has_store=True)
             await region.play(20.0, demand=NORMAL)
             region.isolated = {0, 1}
             await region.play(14.0, demand=OVERLOAD)
@@ -78,7 +78,7 @@
         """They have never seen the other side and know only their own."""
         for seed in SEEDS:
             for started in ((0,), (0, 1), (2,), (2, 3, 4, 5)):
-                region = QuotaRegion(6, monkeypatch, seed=seed, kept=True)
+                region = QuotaRegion(6, monkeypatch, seed=seed, has_store=True)
                 await region.play(20.0, demand=NORMAL)
                 region.isolated = {0, 1}
                 await region.play(2.0, demand=OVERLOAD)
@@ -111,7 +111,7 @@
     async def test_nothing_is_refused_after_a_full_restart(self, monkeypatch):
         for seed in SEEDS:
             for demand in (0.2, NORMAL, 0.6):
-                region = QuotaRegion(6, monkeypatch, seed=seed, kept=True)
+                region = QuotaRegion(6, monkeypatch, seed=seed, has_store=True)
                 assert (
                     await _refused_share_over_restarts(region, demand, in_turn=False)
                     == 0
@@ -120,14 +120,14 @@
     async def test_few_refusals_during_a_rolling_restart(self, monkeypatch):
         for seed in SEEDS:
             for demand, max_refused in ((0.2, 0.0), (NORMAL, 0.0), (0.8, 0.03)):
-                region = QuotaRegion(6, monkeypatch, seed=seed, kept=True)
+                region = QuotaRegion(6, monkeypatch, seed=seed, has_store=True)
                 assert (
                     await _refused_share_over_restarts(region, demand, in_turn=True)
                     <= max_refused
                 )
 
     async def test_nothing_is_refused_with_an_empty_store(self, monkeypatch):
-        region = QuotaRegion(6, monkeypatch, kept=True)
+        region = QuotaRegion(6, monkeypatch, has_store=True)
         await region.play(6.0, NORMAL)
         assert not region.refused
 
@@ -137,13 +137,13 @@
         for seed in SEEDS:
             for burst_s in (1.5, 3.0, 5.0):
                 region = await _burst_then_restart_all(
-                    monkeypatch, seed, burst_s, kept=True
+                    monkeypatch, seed, burst_s, has_store=True
                 )
                 assert region.max_used <= region.limit, (seed, burst_s)
 
     async def test_repeated_full_restarts(self, monkeypatch):
         for seed in SEEDS:
-            region = QuotaRegion(6, monkeypatch, seed=seed, kept=True)
+            region = QuotaRegion(6, monkeypatch, seed=seed, has_store=True)
             await region.play(20.0, demand=NORMAL)
             for _ in range(3):
                 await region.play(2.5, demand=OVERLOAD)
@@ -154,7 +154,7 @@
     async def test_full_restart_with_an_unavailable_store(self, monkeypatch):
         """Usage is unknown then, and the limit must not grow by guessing."""
         for seed in SEEDS:
-            region = QuotaRegion(6, monkeypatch, seed=seed, kept=True)
+            region = QuotaRegion(6, monkeypatch, seed=seed, has_store=True)
             region.store.unavailable = True
             await region.play(20.0, demand=NORMAL)
             await region.play(2.0, demand=OVERLOAD)
@@ -164,7 +164,7 @@
 
     async def test_store_calls_are_few(self, monkeypatch):
         """Far from all limits there are none; at a limit about one per second."""
-        region = QuotaRegion(6, monkeypatch, kept=True)
+        region = QuotaRegion(6, monkeypatch, has_store=True)
         await region.play(30.0, demand=0.2)
         assert region.store.writes <= 1
         assert region.store.reads == 6
@@ -179,7 +179,7 @@
     COUNT = 12
 
     def _region(self, monkeypatch, seed):
-        return RelayedQuotaRegion(self.COUNT, monkeypatch, seed=seed, kept=True)
+        return RelayedQuotaRegion(self.COUNT, monkeypatch, seed=seed, has_store=True)
 
     async def test_full_restart(self, monkeypatch):
         for seed in SEEDS:
--- a/tests/test_saved_usage.py
+++ b/tests/test_saved_usage.py
@@ -3,10 +3,10 @@
 from dataclasses import asdict
 
 import pytest
-from quota_region import FakeUseStore
+from quota_region import FakeDocumentStore
 
 from hibiscusstep.forwarding.saved_usage import (
-    ReadUse,
+    ReadUsage,
     SavedUsage,
     SavedUsagePlanner,
     SavedUsageWorker,
@@ -75,20 +75,20 @@
         return SavedUsageWorker(store, SPAN_S, read_results.append), read_results
 
     async def test_reads_what_another_worker_wrote(self):
-        store = FakeUseStore()
+        store = FakeDocumentStore()
         writer, _ = self._worker(store)
         await writer.handle(SaveUsage(self._USAGE))
         reader, read_results = self._worker(store)
-        await reader.handle(ReadUse())
-        await reader.handle(ReadUse())
+        await reader.handle(ReadUsage())
+        await reader.handle(ReadUsage())
         assert read_results == [SavedUsage(self._USAGE)]
         assert store.reads == 1
 
     async def test_retries_after_store_errors(self):
-        store = FakeUseStore()
+        store = FakeDocumentStore()
         store.unavailable = True
         worker, read_results = self._worker(store)
-        await worker.handle(ReadUse())
+        await worker.handle(ReadUsage())
         await worker.handle(SaveUsage(self._USAGE))
         store.unavailable = False
         await worker.handle(Tick())
@@ -106,8 +106,8 @@
         ],
     )
     async def test_missing_or_malformed_document_lists_no_customers(self, document):
-        store = FakeUseStore()
+        store = FakeDocumentStore()
         store.document = document
         worker, read_results = self._worker(store)
-        await worker.handle(ReadUse())
+        await worker.handle(ReadUsage())
         assert read_results[0].usage.customers == []
