--- a/hibiscusstep/claims/client.py
+++ b/hibiscusstep/claims/client.py
@@ -91,7 +91,7 @@
         Name, incarnation and peer address of this instance.
     links : Worker
         Sends messages to peers.
-    deliver_locally : callable of Received
+    deliver_local : callable of Received
         Delivers messages to the claim writer of this instance.
     """
 
@@ -101,14 +101,14 @@
         incarnation: str,
         address: str,
         links: Worker,
-        deliver_locally: Callable[[Received], None],
+        deliver_local: Callable[[Received], None],
     ) -> None:
         super().__init__("claimer", tick_interval=TICK_S)
         self._own_name = name
         self._incarnation = incarnation
         self._address = address
         self._links = links
-        self._deliver_locally = deliver_locally
+        self._deliver_local = deliver_local
         self._settings = ClaimSettings()
         self._view = View()
         self._pending: dict[str, _PendingClaim] = {}
@@ -210,7 +210,7 @@
         if writer is None:
             return None
         if writer.name == self._own_name:
-            self._deliver_locally(Received(self._address, message))
+            self._deliver_local(Received(self._address, message))
         else:
             self._links.tell(Send(writer.peer_address, message))
         return writer
--- a/hibiscusstep/claims/writer.py
+++ b/hibiscusstep/claims/writer.py
@@ -42,7 +42,7 @@
         Stores the claims.
     links : Worker
         Sends messages to peers.
-    deliver_locally : callable of Received
+    deliver_local : callable of Received
         Delivers replies to the claim client of this instance.
     """
 
@@ -52,14 +52,14 @@
         address: str,
         platform: Platform,
         links: Worker,
-        deliver_locally: Callable[[Received], None],
+        deliver_local: Callable[[Received], None],
     ) -> None:
         super().__init__("claim-writer", tick_interval=TICK_S)
         self._own_name = name
         self._address = address
         self._platform = platform
         self._links = links
-        self._deliver_locally = deliver_locally
+        self._deliver_local = deliver_local
         self._settings = ClaimSettings()
         self._view = View()
         self._shards: dict[int, _RunningShard] = {}
@@ -128,7 +128,7 @@
             record.body_digest,
         )
         if address == self._address:
-            self._deliver_locally(Received(address, reply))
+            self._deliver_local(Received(address, reply))
         else:
             self._links.tell(Send(address, reply))
 
