--- a/hibiscusstep/forwarding/reachability.py
+++ b/hibiscusstep/forwarding/reachability.py
@@ -65,8 +65,11 @@
     def apply_view(self, view: View, now: float) -> None:
         """Apply a view and the number of instances in the store's list."""
         self._view = view
-        if not self._reported_by_peer and view.listed_at_startup > self._reported_count:
-            self._reported_count = view.listed_at_startup
+        if (
+            not self._reported_by_peer
+            and view.listed_count_at_startup > self._reported_count
+        ):
+            self._reported_count = view.listed_count_at_startup
             self._reported_until = now + STORE_COUNT_LIFETIME_S
 
     def apply_reported_count(self, instances: int, now: float) -> None:
--- a/hibiscusstep/membership/hierarchical.py
+++ b/hibiscusstep/membership/hierarchical.py
@@ -281,7 +281,7 @@
             other_instances=others,
             receives_updates=self._own.relay or self._parent_responds(),
             role_known=self._list_attempted,
-            listed_at_startup=self._listed_at_startup(),
+            listed_count_at_startup=self._listed_at_startup(),
         )
         grouped = bool(followers) or others > 0 or not self._own.relay
         return (
--- a/hibiscusstep/membership/view.py
+++ b/hibiscusstep/membership/view.py
@@ -117,7 +117,7 @@
         its parent sends messages.
     role_known : bool
         Whether the instance knows whether it is a relay or a follower.
-    listed_at_startup : int
+    listed_count_at_startup : int
         Number of instances on the platform's list while this one has just started and
         may not know all others; otherwise 0.
     """
@@ -129,12 +129,12 @@
     other_instances: int = 0
     receives_updates: bool = True
     role_known: bool = True
-    listed_at_startup: int = 0
+    listed_count_at_startup: int = 0
 
     @property
     def expected_size(self) -> int:
         """Number of live instances, including those that are probably starting."""
-        return max(self.size, self.listed_at_startup)
+        return max(self.size, self.listed_count_at_startup)
 
     @property
     def has_unreachable(self) -> bool:
--- a/tests/quota_region.py
+++ b/tests/quota_region.py
@@ -191,7 +191,7 @@
     def view(self, number, seen, silent, listed):
         """Return the membership view of an instance."""
         members = {f"i{n}": self.member(n) for n in seen}
-        return View(members, silent, listed_at_startup=listed)
+        return View(members, silent, listed_count_at_startup=listed)
 
     def member(self, number, relay=True):
         incarnation = self.instances[number].incarnation
@@ -287,7 +287,7 @@
                 silent,
                 parent=parent,
                 other_instances=others,
-                listed_at_startup=listed,
+                listed_count_at_startup=listed,
             )
         followers = {
             f"i{n}": self.member(n, relay=False)
@@ -296,7 +296,11 @@
         }
         others -= len(followers)
         return View(
-            members, silent, followers, other_instances=others, listed_at_startup=listed
+            members,
+            silent,
+            followers,
+            other_instances=others,
+            listed_count_at_startup=listed,
         )
 
     def _parent(self, number, relays):
