--- a/hibiscusstep/routing/grant_monitor.py
+++ b/hibiscusstep/routing/grant_monitor.py
@@ -74,7 +74,7 @@
         """Number of requests held beyond their expected end."""
         return sum(grant.overdue for grant in self._grants.values())
 
-    def asks_of_instance(self, instance: str) -> set[str]:
+    def grants_of_instance(self, instance: str) -> set[str]:
         """Return the ids (`Work.ask`) of an instance's grants."""
         return set(self._asks_by_instance.get(instance, ()))
 
--- a/hibiscusstep/routing/slot_dispatcher.py
+++ b/hibiscusstep/routing/slot_dispatcher.py
@@ -248,7 +248,7 @@
             if lost.target in self._targets:
                 self._start(self._targets[lost.target], lost.work, now)
         for ask in (
-            self._grant_monitor.asks_of_instance(message.instance) - message.asks
+            self._grant_monitor.grants_of_instance(message.instance) - message.asks
         ):
             run = self._targets[self._target_by_ask[ask]].running[ask]
             if run.granted < now - MAX_GRANT_TRANSIT_S:
@@ -291,7 +291,7 @@
 
     def _instance_gone(self, message: m.InstanceGone, now: float) -> None:
         gone = [work.ask for work in self._queue if work.instance == message.instance]
-        for ask in (*gone, *self._grant_monitor.asks_of_instance(message.instance)):
+        for ask in (*gone, *self._grant_monitor.grants_of_instance(message.instance)):
             self._remove_request(ask, now)
 
     def _reconfigure(self, message: m.Configure, now: float) -> None:
--- a/tests/test_grant_monitor.py
+++ b/tests/test_grant_monitor.py
@@ -53,7 +53,7 @@
         asked, lost = _run_checks(monitor, 4.0)
         assert asked == {"i": 2.0}
         assert lost == {"a": pytest.approx(2.0 + ANSWER_TIMEOUT_S, abs=TICK_S + 0.001)}
-        assert monitor.asks_of_instance("i") == set()
+        assert monitor.grants_of_instance("i") == set()
 
     def test_confirmed_request_is_checked_again_later(self):
         monitor = GrantMonitor()
