--- a/hibiscusstep/forwarding/planning.py
+++ b/hibiscusstep/forwarding/planning.py
@@ -59,7 +59,7 @@
         for name in pools if versions else ():
             planned = versions(name, present_versions[name])
             pools[name] = replace(
-                pools[name], serving=planned.serving, rollout=planned.rollout
+                pools[name], current_versions=planned.serving, rollout=planned.rollout
             )
         for name, target in targets.items():
             pool = pools.get(target.pool)
--- a/hibiscusstep/routing/dispatch_plan.py
+++ b/hibiscusstep/routing/dispatch_plan.py
@@ -31,7 +31,7 @@
         Maximum seconds between two events of a stream that is in time.
     targets : dict of str to PlannedTarget
         Its targets by name.
-    serving : frozenset of str
+    current_versions : frozenset of str
         Current versions, whose targets receive requests; empty if all targets do.
     rollout : PlannedRollout or None
         A rollout that moves its traffic to another version.
@@ -41,7 +41,7 @@
     tokens_per_event: int = 1
     max_pause: float = 1.0
     targets: dict[str, PlannedTarget] = field(default_factory=dict)
-    serving: frozenset[str] = frozenset()
+    current_versions: frozenset[str] = frozenset()
     rollout: PlannedRollout | None = None
 
 
--- a/hibiscusstep/routing/version_partition.py
+++ b/hibiscusstep/routing/version_partition.py
@@ -73,7 +73,7 @@
 
     def configure(self, pool: PlannedPool) -> None:
         """Apply the current versions and the rollout, before targets are assigned."""
-        self._serving_versions = pool.serving
+        self._serving_versions = pool.current_versions
         planned = None if self._is_standalone else pool.rollout
         if planned is None:
             self.rollout = None
