--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -124,7 +124,7 @@
     def __init__(self, folder, instances=3, services=2, engines=0, **options):
         self.folder = folder
         self.platform = MemoryPlatform()
-        self.entries, self.tasks, self.urls = {}, {}, {}
+        self.instances_by_name, self.tasks, self.urls = {}, {}, {}
         self.targets, self.apps, self._runners = {}, {}, []
         self.killed = []
         self._background = []
@@ -251,7 +251,7 @@
     async def start(self, name):
         """Start or restart an instance."""
         entry = Instance(self.settings(name), self.platform)
-        self.entries[name] = entry
+        self.instances_by_name[name] = entry
         self.tasks[name] = asyncio.create_task(entry.run())
         self.urls[name] = f"http://{entry._settings.caller_address}"
         await entry.started.wait()
@@ -259,7 +259,7 @@
     async def kill(self, name):
         """Stop an instance as SIGKILL does: at once and without notice."""
         self.killed.append(name)
-        entry, task = self.entries.pop(name), self.tasks.pop(name)
+        entry, task = self.instances_by_name.pop(name), self.tasks.pop(name)
         entry._caller_server.drain()
         entry.cut("killed by the test")
         task.cancel()
@@ -267,11 +267,11 @@
 
     async def drain(self, name):
         """Stop an instance as SIGTERM does."""
-        entry = self.entries[name]
+        entry = self.instances_by_name[name]
         await entry.drain()
-        if self.entries.get(name) is not entry:
+        if self.instances_by_name.get(name) is not entry:
             return
-        self.entries.pop(name)
+        self.instances_by_name.pop(name)
         task = self.tasks.pop(name)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -281,18 +281,18 @@
         for side in sides:
             others = [n for other in sides if other is not side for n in other]
             for name in side:
-                self.entries[name].links.block(
+                self.instances_by_name[name].links.block(
                     {f"127.0.0.1:{self._ports[other][2]}" for other in others}
                 )
 
     def heal(self):
         """Restore all peer links."""
-        for entry in self.entries.values():
+        for entry in self.instances_by_name.values():
             entry.links.block(set())
 
     async def settled(self):
         """Wait until all instances know each other and every pool has a dispatcher."""
-        names = set(self.entries)
+        names = set(self.instances_by_name)
         await until(lambda: all(set(e.view.members) == names for e in self._live()))
         await until(lambda: all(e.ready for e in self._live()))
         await until(self._all_pools_dispatched)
@@ -302,7 +302,7 @@
         return self._live()[0].view.dispatcher_of(pool)
 
     def _live(self):
-        return list(self.entries.values())
+        return list(self.instances_by_name.values())
 
     def _all_pools_dispatched(self):
         live = self._live()
@@ -364,8 +364,8 @@
     def on_event(self, kind, action, names=None):
         """Call an action once, at the first event of a kind on any of the instances."""
         fired = asyncio.Event()
-        for name in names or self.entries:
-            self._wrap_recorder(self.entries[name], kind, action, fired)
+        for name in names or self.instances_by_name:
+            self._wrap_recorder(self.instances_by_name[name], kind, action, fired)
         return fired
 
     @staticmethod
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -50,25 +50,25 @@
 
 async def kill_dispatcher(cluster):
     name = cluster.dispatcher(SERVICE)
-    if name in cluster.entries:
+    if name in cluster.instances_by_name:
         await cluster.kill(name)
 
 
 async def kill_claim_writer(cluster):
     shard = shard_of(digest(), 2)
-    name = next(iter(cluster.entries.values())).view.claim_writer_of(shard)
-    if name in cluster.entries:
+    name = next(iter(cluster.instances_by_name.values())).view.claim_writer_of(shard)
+    if name in cluster.instances_by_name:
         await cluster.kill(name)
 
 
 async def cut_holder(cluster):
-    others = [name for name in cluster.entries if name != HOLDER]
-    if HOLDER in cluster.entries and others:
+    others = [name for name in cluster.instances_by_name if name != HOLDER]
+    if HOLDER in cluster.instances_by_name and others:
         cluster.cut([HOLDER], others)
 
 
 async def drain_holder(cluster):
-    if HOLDER in cluster.entries:
+    if HOLDER in cluster.instances_by_name:
         await cluster.drain(HOLDER)
 
 
@@ -245,7 +245,7 @@
     await cluster.control("service-0", leaving=False, duration=0.05)
     await cluster.control("engine-0", leaving=False, dead=False, slow=1.0)
     for name in ("e0", "e1", "e2"):
-        if name not in cluster.entries:
+        if name not in cluster.instances_by_name:
             await cluster.start(name)
     await cluster.settled()
 
@@ -255,7 +255,7 @@
     async with asyncio.timeout(20):
         while (await send(cluster, kind, "e1")).outcome == "not run":
             await asyncio.sleep(0.1)
-        for name in cluster.entries:
+        for name in cluster.instances_by_name:
             while (await cluster.call(name, "/read")).outcome != "whole":
                 await asyncio.sleep(0.1)
             while (await cluster.call(name, key=f"after-{name}")).outcome != "whole":
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -120,7 +120,7 @@
             await until(lambda: all(len(e.view.members) == 2 for e in cluster._live()))
             await until(
                 lambda: all(
-                    cluster.entries[e.view.dispatcher_of("service")]
+                    cluster.instances_by_name[e.view.dispatcher_of("service")]
                     ._dispatcher_host.status("service")
                     .get("recovered")
                     for e in cluster._live()
--- a/tests/test_configuration_spread.py
+++ b/tests/test_configuration_spread.py
@@ -34,7 +34,7 @@
             cluster.platform.faults.down = True
             await cluster.kill("e0")
             await cluster.start("e0")
-            assert not cluster.entries["e0"].ready
+            assert not cluster.instances_by_name["e0"].ready
             await until(lambda: versions_in_force(cluster) == {version})
             assert (await cluster.call("e0", "/read")).outcome == "whole"
             cluster.check()
@@ -71,7 +71,7 @@
             reply = await cluster.call("e0", "/read")
             assert reply.status == 503 and reply.outcome == "not run"
             cluster.platform.faults.down = False
-            await until(lambda: cluster.entries["e0"].ready)
+            await until(lambda: cluster.instances_by_name["e0"].ready)
 
     async def test_the_change_is_recorded(self, tmp_path):
         async with Cluster(tmp_path) as cluster:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -11,7 +11,7 @@
 async def keep_calling(cluster, stop, replies, **options):
     """Call through all instances until `stop` is set."""
     while not stop.is_set():
-        for name in list(cluster.entries):
+        for name in list(cluster.instances_by_name):
             replies.append(await cluster.call(name, "/read", **options))
 
 
@@ -76,7 +76,7 @@
         async with Cluster(tmp_path, duration=1.0) as cluster:
             running = asyncio.create_task(cluster.call("e1"))
             await until(lambda: cluster.events(EventKind.SERVED))
-            entry = cluster.entries["e1"]
+            entry = cluster.instances_by_name["e1"]
             draining = asyncio.create_task(entry.drain())
             await until(lambda: entry._caller_server._draining)
             assert not entry.ready
--- a/tests/test_mechanisms_off.py
+++ b/tests/test_mechanisms_off.py
@@ -61,7 +61,7 @@
             keeper._publish(loaded)
 
         async with Cluster(tmp_path) as cluster:
-            old = cluster.entries["e0"].in_force
+            old = cluster.instances_by_name["e0"].in_force
             newer = await cluster.apply(configuration(cluster.targets, deadline=7))
             await until(
                 lambda: all(e.in_force.version == newer for e in cluster._live())
@@ -69,7 +69,7 @@
             monkeypatch.setattr(
                 ConfigurationUpdater, "_apply_version", accept_any_version
             )
-            cluster.entries["e0"]._configuration_updater.tell(
+            cluster.instances_by_name["e0"]._configuration_updater.tell(
                 _Seen(old.version, old.value)
             )
             await until(lambda: "configuration" in promises(cluster))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -132,12 +132,14 @@
             await cluster.settled()
             await cluster.start("e3")
             await cluster.settled()
-            assert len(cluster.entries["e3"].view.members) == 5
+            assert len(cluster.instances_by_name["e3"].view.members) == 5
 
     @pytest.mark.parametrize("frames", [b"", b"x" * 16, b"x" * 16 + b"\xff" * 64])
     async def test_invalid_data_on_the_peer_port_is_ignored(self, tmp_path, frames):
         async with Cluster(tmp_path, instances=2) as cluster:
-            host, _, port = cluster.entries["e0"]._settings.peer_address.rpartition(":")
+            host, _, port = cluster.instances_by_name[
+                "e0"
+            ]._settings.peer_address.rpartition(":")
             _reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(frames)
             writer.close()
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -251,7 +251,9 @@
             await self.send_raw(cluster, head, end=True)
             reply = await cluster.call("e0", key="half")
             assert reply.outcome in ("whole", "not run")
-            await until(lambda: not cluster.entries["e0"]._caller_server.open_requests)
+            await until(
+                lambda: not cluster.instances_by_name["e0"]._caller_server.open_requests
+            )
             cluster.check()
 
     async def test_customers_do_not_see_each_other(self, tmp_path):
@@ -264,7 +266,7 @@
 
     async def test_operator_endpoints_require_the_operator_key(self, tmp_path):
         async with Cluster(tmp_path, instances=1) as cluster:
-            address = cluster.entries["e0"]._settings.operator_address
+            address = cluster.instances_by_name["e0"]._settings.operator_address
             for path, status in (
                 ("/health", 200),
                 ("/ready", 200),
