--- a/hibiscusstep/forwarding/quota.py
+++ b/hibiscusstep/forwarding/quota.py
@@ -42,9 +42,9 @@
 RELAYED_HOPS = 3
 # Each instance logs the usage of the customers nearest to their limits: at most this
 # many, from this share of the limit on, every this many intervals (one second).
-LOG_USE_MAX_CUSTOMERS = 3
-LOG_USE_MIN_SHARE = 0.5
-LOG_USE_EVERY = 5
+LOG_USAGE_MAX_CUSTOMERS = 3
+LOG_USAGE_MIN_SHARE = 0.5
+LOG_USAGE_EVERY = 5
 
 
 @dataclass(frozen=True, slots=True)
@@ -173,7 +173,7 @@
         self._query_history(now)
         self._send_changes()
         self._save_usage(now)
-        if self._ticks % LOG_USE_EVERY == 0:
+        if self._ticks % LOG_USAGE_EVERY == 0:
             self._log_usage(now)
 
     def _process_view(self, view: View, now: float) -> None:
@@ -318,8 +318,8 @@
             for name, rule in self._rules.items()
             if rule.quota.rate and self._ledger.own_usage(name, now)
         }
-        near = [name for name, share in shares.items() if share >= LOG_USE_MIN_SHARE]
-        for name in heapq.nlargest(LOG_USE_MAX_CUSTOMERS, near, key=shares.get):
+        near = [name for name, share in shares.items() if share >= LOG_USAGE_MIN_SHARE]
+        for name in heapq.nlargest(LOG_USAGE_MAX_CUSTOMERS, near, key=shares.get):
             decision("customer-use", **self._usage_fields(self._rules[name], now))
 
     def _usage_fields(self, customer: CustomerRule, now: float) -> dict:
--- a/hibiscusstep/platform/client.py
+++ b/hibiscusstep/platform/client.py
@@ -36,8 +36,8 @@
 )
 
 __all__ = [
-    "ObjectEstimateStore",
     "ObjectClient",
+    "ObjectEstimateStore",
     "ObjectFeed",
     "ObjectRolloutStore",
     "ObjectInstanceDirectory",
