--- a/hibiscusstep/forwarding/bounds.py
+++ b/hibiscusstep/forwarding/bounds.py
@@ -1,29 +1,30 @@
-"""hibiscusstep.forwarding.bounds: what the place of operation sets."""
+"""hibiscusstep.forwarding.bounds: limits and settings of a forwarding instance."""
 
 from dataclasses import dataclass, field
 
-from hibiscusstep.membership.relays import MESH_SIZE
+from hibiscusstep.membership.relays import MAX_MESH_SIZE
 from hibiscusstep.rollout.budget import ExposureLimits
-from hibiscusstep.routing.switches import ALL_ON, Switches
+from hibiscusstep.routing.switches import ALL_ENABLED, Switches
 
 __all__ = ["Bounds", "InstanceSettings"]
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Limits that hold for all instances together, and times.
+    """Limits for all instances together, and timing parameters.
 
     Parameters
     ----------
     stop_grace : float
-        Seconds from the signal to stop until the process is killed.
+        Seconds from the stop signal until the process is killed.
     retry_share, retry_reserve, retry_window : float
-        Repeats within a window (seconds): a share of the requests and some beside.
+        Retries allowed within a window (seconds): a share of the requests and a
+        constant number on top.
     quota_window, quota_overage, quota_slack : float
-        A customer's tokens in a window (seconds) may exceed its quota by a share
-        and by some tokens.
+        A customer's tokens in a window (seconds) may exceed its quota by a share (the
+        overage) and a constant number of tokens (the slack).
     exposure : ExposureLimits
-        What a version may get that is not proved.
+        Limits on the requests sent to a version that is not yet proven.
     """
 
     stop_grace: float = 8.0
@@ -38,28 +39,30 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceSettings:
-    """What one forwarding instance is told at its start.
+    """Settings of one forwarding instance, fixed at its start.
 
     Parameters
     ----------
     name, data_centre, region : str
-        The instance, where it runs, and the region whose instances work together.
+        Name of the instance, its location, and the region whose instances cooperate.
     caller_address, operator_address, peer_address : str
-        IP number and port for callers, for metrics, and for the other instances.
+        IP address and port for callers, for metrics, and for the other instances.
     peer_key : str
-        Secret shared by the instances.
+        Secret shared by all instances.
     seeds : tuple of str
-        Peer addresses known from the start.
+        Peer addresses known at the start.
     heartbeat_interval, suspect_after : float
-        Seconds between heartbeats, and of silence until a peer is gone.
+        Seconds between heartbeats, and seconds of silence until a peer is taken to be
+        gone.
     capacity : int
-        As in `hibiscusstep.store.InstanceRecord`.
-    mesh_size : int
-        Up to so many instances all speak to all; beyond, over relays.
+        Capacity for work, in hundredths of a core or as limited by the link.
+    max_mesh_size : int
+        Up to this number, all instances of a region are connected to each other. In a
+        larger region some are relays, and each other instance follows one of them.
     switches : Switches
-        Which mechanisms of the dispatchers are on.
+        The enabled dispatcher mechanisms.
     log_style, log_level : str
-        As in the settings of an entry instance.
+        Form of the log ("auto", "human" or "json") and the lowest level written.
     """
 
     name: str
@@ -73,7 +76,7 @@
     heartbeat_interval: float
     suspect_after: float
     capacity: int = 1
-    mesh_size: int = MESH_SIZE
-    switches: Switches = ALL_ON
+    max_mesh_size: int = MAX_MESH_SIZE
+    switches: Switches = ALL_ENABLED
     log_style: str = "json"
     log_level: str = "INFO"
--- /dev/null
+++ b/hibiscusstep/forwarding/caller_frontend.py
@@ -0,0 +1,239 @@
+"""hibiscusstep.forwarding.caller_frontend: the HTTP server for callers."""
+
+import asyncio
+import contextlib
+from collections.abc import Awaitable
+
+from aiohttp import web
+
+from hibiscusstep.forwarding.exchange import Exchange
+from hibiscusstep.forwarding.incoming_request import ForwardingContext, IncomingRequest
+from hibiscusstep.forwarding.local_response import local_response
+from hibiscusstep.forwarding.model import (
+    CustomerRule,
+    ForwardRoute,
+    IngressLimits,
+    RoutingTable,
+)
+from hibiscusstep.forwarding.quota import QuotaLimiter
+from hibiscusstep.forwarding.quota_request import QUOTA_RETRY_S, QuotaRequest
+from hibiscusstep.log import decision
+
+__all__ = ["CallerFrontend"]
+
+NOT_READY_RETRY_AFTER_S = 0.5
+# A request that arrives before the first configuration, or before the usage of its
+# customer's quota is known, waits at most this long and at most half of its caller's
+# timeout. Callers connect while an instance starts, and when all instances restart no
+# other one is ready: a region of 19 instances refused 219 requests in the half second
+# between the start of listening and the first configuration.
+STARTUP_WAIT_S = 1.0
+# Another instance can serve the request at once.
+STOPPING_RETRY_AFTER_S = 0.05
+# A stopping instance accepts requests that may outlast it for this long; after that the
+# balancer has removed it from its rotation.
+ACCEPT_ALL_AFTER_STOP_S = 2.8
+
+
+class _RequestRejected(Exception):
+    """A request that the instance rejects without forwarding it."""
+
+    def __init__(
+        self, status: int, reason: str, retry_after: float | None = None
+    ) -> None:
+        super().__init__(reason)
+        self.status = status
+        self.reason = reason
+        self.retry_after = retry_after
+
+
+class CallerFrontend:
+    """Authenticates and admits callers' requests and starts an exchange for each.
+
+    Parameters
+    ----------
+    context : ForwardingContext
+        Services shared by all exchanges.
+    quotas : QuotaLimiter
+        Enforces customers' quotas.
+    """
+
+    def __init__(self, context: ForwardingContext, quotas: QuotaLimiter) -> None:
+        self._context = context
+        self._quotas = quotas
+        self._table: RoutingTable | None = None
+        self._table_received = asyncio.Event()
+        self._open = 0
+        self._idle = asyncio.Event()
+        self._idle.set()
+        self._draining = False
+        self._refusing = False
+        self._accept_all_until = float("inf")
+        self._drain_deadline = float("inf")
+
+    @property
+    def open_requests(self) -> int:
+        """Number of requests without a complete response."""
+        return self._open
+
+    @property
+    def limits(self) -> IngressLimits:
+        """Limits on callers' requests."""
+        return self._table.limits if self._table else IngressLimits()
+
+    def set_table(self, table: RoutingTable) -> None:
+        """Use a routing table from the next request on."""
+        self._table = table
+        self._table_received.set()
+
+    def begin_drain(self, now: float, drain_deadline: float) -> None:
+        """Close connections after responses; then reject requests that may outlast it.
+
+        Parameters
+        ----------
+        now, drain_deadline : float
+            Current time, and when all responses have to be complete, on the loop's
+            clock.
+        """
+        self._draining = True
+        self._accept_all_until = now + ACCEPT_ALL_AFTER_STOP_S
+        self._drain_deadline = drain_deadline
+
+    def refuse_requests(self) -> None:
+        """Reject all further requests."""
+        self._refusing = True
+
+    async def wait_idle(self) -> None:
+        """Wait until no request is open."""
+        await self._idle.wait()
+
+    def app(self) -> web.Application:
+        """Return the web application that serves callers."""
+        app = web.Application(client_max_size=64 << 20)
+        app.router.add_route("*", "/{path:.*}", self._handle)
+        return app
+
+    async def _handle(self, request: web.Request) -> web.StreamResponse:
+        self._open += 1
+        self._idle.clear()
+        self._context.metrics.set_gauge("open_requests", self._open)
+        try:
+            response = await self._respond(request)
+            if self._draining and not response.prepared:
+                response.force_close()
+            return response
+        finally:
+            self._open -= 1
+            self._context.metrics.set_gauge("open_requests", self._open)
+            if not self._open:
+                self._idle.set()
+
+    async def _respond(self, request: web.Request) -> web.StreamResponse:
+        received = asyncio.get_running_loop().time()
+        head = self._context.dialect.read_request(request.headers)
+        if self._table is None:
+            await _wait_for_startup(self._table_received.wait(), head.caller_timeout)
+        try:
+            route = self._find_route(request)
+            customer = self._find_customer(route, head.key)
+            body = await self._read_body(request)
+            quota_request = await self._request_quota(customer, head)
+        except _RequestRejected as rejected:
+            return self._reject(request, head.request, rejected)
+        pool = route.choose_pool()
+        incoming = IncomingRequest(
+            request,
+            head,
+            body,
+            route,
+            pool,
+            customer,
+            received,
+            quota_request,
+        )
+        try:
+            return await Exchange(incoming, self._context).run()
+        finally:
+            if quota_request:
+                quota_request.release()
+
+    def _find_route(self, request: web.Request) -> ForwardRoute:
+        if self._table is None:
+            raise _RequestRejected(503, "no configuration yet", NOT_READY_RETRY_AFTER_S)
+        host = request.headers.get("Host", "").partition(":")[0].lower()
+        path = request.raw_path.partition("?")[0]
+        route = self._table.route(host, path)
+        if route is None:
+            raise _RequestRejected(404, "no matching route")
+        now = asyncio.get_running_loop().time()
+        too_long = (
+            now > self._accept_all_until and now + route.timeout > self._drain_deadline
+        )
+        if self._refusing or too_long:
+            raise _RequestRejected(503, "stopping", STOPPING_RETRY_AFTER_S)
+        return route
+
+    def _find_customer(self, route: ForwardRoute, key: str) -> CustomerRule | None:
+        if route.public or not self._table.needs_keys:
+            return None
+        customer = self._table.customer(key)
+        if customer is None:
+            raise _RequestRejected(401, "unknown customer key")
+        return customer
+
+    async def _request_quota(
+        self, customer: CustomerRule | None, head
+    ) -> QuotaRequest | None:
+        if customer is None:
+            return None
+        if customer.quota.rate and not self._quotas.history_known:
+            await _wait_for_startup(
+                self._quotas.wait_history_known(), head.caller_timeout
+            )
+        tokens = head.prompt_tokens + head.output_tokens
+        if not head.declares_tokens:
+            tokens = customer.quota.default_tokens
+        quota_request = QuotaRequest(self._quotas, customer, tokens, head.request)
+        if not quota_request.fits():
+            raise _RequestRejected(429, "customer quota exceeded", QUOTA_RETRY_S)
+        return quota_request
+
+    async def _read_body(self, request: web.Request) -> bytes:
+        limits = self.limits
+        if (request.content_length or 0) > limits.max_body_bytes:
+            raise _RequestRejected(413, "request body too long")
+        try:
+            body = await request.read()
+        except web.HTTPRequestEntityTooLarge:
+            raise _RequestRejected(413, "request body too long") from None
+        except (ValueError, web.HTTPException) as cause:
+            raise _RequestRejected(400, f"malformed body: {cause!r}") from None
+        if len(body) > limits.max_body_bytes:
+            raise _RequestRejected(413, "request body too long")
+        return body
+
+    def _reject(self, request, name: str, rejected: _RequestRejected) -> web.Response:
+        version = self._table.version if self._table else 0
+        self._context.metrics.requests.inc(
+            {"route": "", "rank": "", "status": str(rejected.status)}
+        )
+        decision(
+            "rejected",
+            request=name,
+            status=rejected.status,
+            why=rejected.reason,
+            host=request.headers.get("Host", ""),
+            path=request.path[:80],
+            version=version,
+        )
+        return local_response(rejected.status, retry_after=rejected.retry_after)
+
+
+async def _wait_for_startup(event: Awaitable, caller_timeout: float | None) -> None:
+    """Wait for state that a starting instance still lacks, for a bounded time."""
+    seconds = STARTUP_WAIT_S
+    if caller_timeout is not None:
+        seconds = min(seconds, caller_timeout / 2)
+    with contextlib.suppress(TimeoutError):
+        async with asyncio.timeout(seconds):
+            await event
--- a/hibiscusstep/forwarding/dialect.py
+++ b/hibiscusstep/forwarding/dialect.py
@@ -1,125 +1,133 @@
-"""hibiscusstep.forwarding.dialect: how requests and answers spell what we need."""
+"""hibiscusstep.forwarding.dialect: interface to the header fields of a platform."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-__all__ = ["AnswerHead", "Dialect", "Headers", "Order", "RequestHead"]
+__all__ = [
+    "Dialect",
+    "Headers",
+    "RequestHead",
+    "TargetRequestHead",
+    "TargetResponseHead",
+]
 
 Headers = Sequence[tuple[bytes, bytes]]
 
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """What a caller's header fields say.
+    """Parsed header fields of a caller's request.
 
     Parameters
     ----------
     request : str
-        The caller's id of this attempt, "" if it gave none.
+        The caller's id of this attempt, "" if there is none.
     key : str
         The customer's key.
-    patience : float or None
-        Seconds for which the caller waits.
+    caller_timeout : float or None
+        Seconds for which the caller waits; None if not declared.
     prompt_tokens, output_tokens : int
-        As the caller declares them; the second is the most it may get.
+        Tokens of the prompt and maximum tokens of the output, as the caller declares.
     expected_output : int
-        The caller's estimate of the output, `output_tokens` if it gives none.
-    counted : bool
-        Whether it declared tokens at all.
-    last_event : str
-        The id behind which a stream goes on, "" from its beginning.
-    prompt : str
-        Names of the prompt's parts, "" if it gives none.
+        The caller's estimate of the output tokens; `output_tokens` if not declared.
+    declares_tokens : bool
+        Whether the caller declared token counts.
+    last_event_id : str
+        Id of the event after which a stream resumes, "" to start at its beginning.
+    prompt_parts : str
+        Names of the prompt's parts, "" if not declared.
     """
 
     request: str
     key: str
-    patience: float | None
+    caller_timeout: float | None
     prompt_tokens: int
     output_tokens: int
     expected_output: int
-    counted: bool
-    last_event: str
-    prompt: str = ""
+    declares_tokens: bool
+    last_event_id: str
+    prompt_parts: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    """What the system adds to a request that goes to a target.
+class TargetRequestHead:
+    """Values that are added to a request to a target.
 
     Parameters
     ----------
     target : str
-        The target that is meant; another one at its address refuses.
+        Id of the target; a different target at its address rejects the request.
     customer : str
-        The customer, "" if the route is public.
+        Name of the customer, "" if there is none.
     timeout : float
-        Seconds that are left.
-    last_event : str
+        Seconds until the request's deadline.
+    last_event_id : str
         As in `RequestHead`.
     """
 
     target: str
     customer: str
     timeout: float
-    last_event: str
+    last_event_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHead:
-    """What a target's header fields say.
+class TargetResponseHead:
+    """Parsed header fields of a target's response.
 
     Parameters
     ----------
     request : str
-        The id of the request that is answered.
+        Id of the request to which it responds.
     sealed : bool
-        Whether the target signed it.
+        Whether it carries the seal with which a target signs its responses.
     not_run : bool
-        Whether the target says that it did not run the request.
+        Whether the target declares that it did not run the request.
     misdirected : bool
-        Whether another target has the address.
-    encoded : bool
-        Whether the body is not what the target wrote.
+        Whether a different target has the address.
+    is_reencoded : bool
+        Whether the body was encoded after the target wrote it.
     running, waiting : int
-        The target's load; -1 if it does not say.
+        The target's running and waiting requests; -1 if not declared.
     idle_timeout : float
         Seconds for which the target keeps an idle connection; 0 if not known.
     leaving : bool
-        Whether the target says that it takes no new work.
-    stay_away : float
-        Seconds for which the target wants nothing more from this instance; 0 if it
-        does not say.
+        Whether the target declares that it accepts no new work.
+    retry_after : float
+        Seconds for which the target asks this instance to send no requests; 0 if not
+        declared.
     """
 
     request: str
     sealed: bool
     not_run: bool
     misdirected: bool
-    encoded: bool
+    is_reencoded: bool
     running: int
     waiting: int
     idle_timeout: float
     leaving: bool = False
-    stay_away: float = 0.0
+    retry_after: float = 0.0
 
 
 class Dialect(ABC):
-    """Reads and writes header fields."""
+    """Reads and writes a platform's header fields."""
 
     @abstractmethod
     def read_request(self, headers) -> RequestHead:
-        """Return what a caller's fields (a case-insensitive multidict) say."""
+        """Parse a caller's header fields (a case-insensitive multidict)."""
 
     @abstractmethod
-    def order_fields(self, raw: Headers, order: Order) -> Iterable[tuple[bytes, bytes]]:
-        """Return the fields that go to a target, without those of the connection."""
+    def target_request_fields(
+        self, raw: Headers, order: TargetRequestHead
+    ) -> Iterable[tuple[bytes, bytes]]:
+        """Return the header fields to send to a target, without hop-by-hop fields."""
 
     @abstractmethod
-    def read_answer(self, status: int, headers) -> AnswerHead:
-        """Return what a target's fields say."""
+    def read_response(self, status: int, headers) -> TargetResponseHead:
+        """Parse the status and header fields of a target's response."""
 
     @abstractmethod
-    def answer_fields(self, raw: Headers) -> Iterable[tuple[str, str]]:
-        """Return the fields of a target's answer that go to the caller."""
+    def caller_response_fields(self, raw: Headers) -> Iterable[tuple[str, str]]:
+        """Return the header fields of a target's response to send to the caller."""
--- /dev/null
+++ b/hibiscusstep/forwarding/environment.py
@@ -0,0 +1,80 @@
+"""hibiscusstep.forwarding.environment: platform-specific parts of an instance."""
+
+import socket
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from hibiscusstep.forwarding.bounds import Bounds, InstanceSettings
+from hibiscusstep.forwarding.dialect import Dialect
+from hibiscusstep.forwarding.model import RoutingTable
+from hibiscusstep.store import (
+    EstimateStore,
+    Feed,
+    InstanceDirectory,
+    RolloutStore,
+    SuspectStore,
+    UsageStore,
+)
+
+__all__ = ["InstanceEnvironment"]
+
+
+@dataclass(frozen=True, slots=True)
+class InstanceEnvironment:
+    """Settings, stores and callbacks that a platform adapter provides to an instance.
+
+    Parameters
+    ----------
+    settings : InstanceSettings
+        Settings of the instance.
+    bounds : Bounds
+        Limits and times.
+    ready_address, ready_path : str
+        Address and path of the readiness check for a balancer.
+    dialect : Dialect
+        Reads and writes the platform's header fields.
+    tables, targets : Feed
+        The configuration and the targets' entries in the store.
+    roster : InstanceDirectory
+        Registered instances.
+    beliefs : EstimateStore
+        Persists the dispatchers' estimates of target speeds.
+    use : UsageStore
+        Persists the customers' usage of their quotas.
+    suspects : SuspectStore
+        Persists which requests crash targets.
+    rollouts : RolloutStore
+        Persists operators' rollouts of versions.
+    register : callable
+        Returns an awaitable that adds this instance to the roster.
+    read_table : callable of bytes
+        Parses a routing table that a peer sent.
+    read_bounds : callable
+        Reads the bounds again.
+    on_store_restored : callable of callable
+        Sets a callback for a restore of the store from an older copy; its arguments are
+        the eras before and after.
+    close : callable
+        Returns an awaitable that closes the sockets.
+    caller_socket : socket.socket or None
+        Listening socket for callers; None if the instance opens it.
+    """
+
+    settings: InstanceSettings
+    bounds: Bounds
+    ready_address: str
+    ready_path: str
+    dialect: Dialect
+    tables: Feed
+    targets: Feed
+    roster: InstanceDirectory
+    beliefs: EstimateStore
+    use: UsageStore
+    suspects: SuspectStore
+    rollouts: RolloutStore
+    register: Callable
+    read_table: Callable[[bytes], RoutingTable]
+    read_bounds: Callable[[], Bounds]
+    on_store_restored: Callable[[Callable[[int, int], None]], None]
+    close: Callable
+    caller_socket: socket.socket | None = None
--- /dev/null
+++ b/hibiscusstep/forwarding/grant_client.py
@@ -0,0 +1,279 @@
+"""hibiscusstep.forwarding.grant_client: obtains a target for a request."""
+
+import asyncio
+from dataclasses import dataclass
+
+from hibiscusstep.forwarding.incoming_request import ForwardingContext, IncomingRequest
+from hibiscusstep.forwarding.model import DiscoveredTarget
+from hibiscusstep.forwarding.quarantine_status import QuarantineStatus
+from hibiscusstep.forwarding.quota_request import QUOTA_RETRY_S
+from hibiscusstep.forwarding.stream_timing import StreamTiming
+from hibiscusstep.grant_messages import (
+    FirstTokenReceived,
+    Granted,
+    GrantRequest,
+    Refused,
+    RequestEnded,
+)
+from hibiscusstep.mailbox import MailboxFull
+from hibiscusstep.peer import WorkInfo
+from hibiscusstep.routing import messages as m
+
+__all__ = ["GrantClient", "Refusal"]
+
+# A dispatcher that does not know how long a request can still be served in time refuses
+# it after this share of the route's objective. One that knows it keeps the request
+# waiting longer. A dispatcher that does not answer is waited for somewhat longer.
+GRANT_WAIT_SHARE = 0.25
+# Grants of targets unknown here that a request discards before it is refused. An
+# instance without a connection to the store receives new targets from its peers, later.
+MAX_UNKNOWN_TARGETS = 3
+UNKNOWN_TARGET_RETRY_AFTER_S = 0.5
+
+
+@dataclass(frozen=True, slots=True)
+class Refusal:
+    """The reason why a request is sent to no target.
+
+    Parameters
+    ----------
+    retry_after : float
+        Seconds after which the caller may retry.
+    reason : str
+        For the log.
+    status : int
+        HTTP status of the response.
+    problem : dict of str to str or None
+        Members of the problem document in the response.
+    """
+
+    retry_after: float
+    reason: str
+    status: int = 503
+    problem: dict[str, str] | None = None
+
+
+class GrantClient:
+    """Requests grants for one request and returns those that cannot be used.
+
+    The state of the target, of the request or of the customer's quota may have changed
+    since the dispatcher decided, so all three are checked before the request is sent.
+
+    Parameters
+    ----------
+    incoming : IncomingRequest
+        The request.
+    context : ForwardingContext
+        Services shared by all exchanges.
+    quarantine_status : QuarantineStatus
+        Quarantine state of the request.
+
+    Attributes
+    ----------
+    granted_at : float
+        Time of the last grant, on the loop's clock.
+    """
+
+    def __init__(
+        self,
+        incoming: IncomingRequest,
+        context: ForwardingContext,
+        quarantine_status: QuarantineStatus,
+    ) -> None:
+        self._incoming = incoming
+        self._context = context
+        self._quarantine_status = quarantine_status
+        self._avoid: list[str] = []
+        self._is_retry = False
+        self._grant: Granted | None = None
+        self.granted_at = 0.0
+
+    def avoid(self, target: DiscoveredTarget) -> int:
+        """Prefer other targets from now on; return how many are avoided."""
+        self._avoid.append(target.name)
+        return len(self._avoid)
+
+    async def acquire_target(self, *, is_retry: bool) -> DiscoveredTarget | Refusal:
+        """Return a granted target that accepts the request, or a refusal.
+
+        Parameters
+        ----------
+        is_retry : bool
+            Whether the request was sent to a target before.
+        """
+        self._is_retry = is_retry
+        while True:
+            if self._quarantine_status.is_quarantined:
+                return self._quarantine_refusal()
+            if seconds := await self._wait_for_available_target():
+                return Refusal(seconds, "all targets asked this instance to back off")
+            reply = await self._request_grant()
+            if isinstance(reply, Refused):
+                return Refusal(reply.retry_after, str(reply.reason))
+            if self._quarantine_status.is_quarantined:
+                # Other attempts at this request crashed targets during the wait.
+                self.release_grant(m.GrantOutcome.UNUSED)
+                return self._quarantine_refusal()
+            target = self._context.targets.get(reply.target)
+            if target is None:
+                # The dispatcher already knows a target that is not yet known here.
+                self.release_grant(m.GrantOutcome.UNUSED)
+                self._avoid.append(reply.target)
+                if len(self._avoid) > MAX_UNKNOWN_TARGETS:
+                    return Refusal(
+                        UNKNOWN_TARGET_RETRY_AFTER_S, "granted targets not known here"
+                    )
+                continue
+            if not self._accepts_work(target):
+                continue
+            if (
+                self._incoming.quota_request
+                and not self._incoming.quota_request.reserve()
+            ):
+                self.release_grant(m.GrantOutcome.UNUSED)
+                return Refusal(QUOTA_RETRY_S, "customer quota exceeded", 429)
+            return target
+
+    def _accepts_work(self, target: DiscoveredTarget) -> bool:
+        """Whether a target accepts work by its latest state; else release the grant."""
+        if target.leaving:
+            self.release_grant(m.GrantOutcome.LEAVING)
+            self._avoid.append(target.name)
+            return False
+        if self._context.target_backoff.is_backing_off(target.name, self._now()):
+            self.release_grant(m.GrantOutcome.UNUSED)
+            return False
+        return True
+
+    @property
+    def _grant_deadline(self) -> float:
+        """Time until which the request waits for a grant, on the loop's clock.
+
+        A dispatcher that knows how long the request can be served in time may answer
+        later.
+        """
+        started = self._now() if self._is_retry else self._incoming.received
+        max_wait = GRANT_WAIT_SHARE * self._incoming.route.objective
+        return min(started + max_wait, self._incoming.deadline)
+
+    async def _wait_for_available_target(self) -> float:
+        """Wait while all targets of the pool have asked this instance to back off.
+
+        Returns
+        -------
+        float
+            Seconds until one of them accepts requests, if that is after the grant's
+            deadline; else 0.
+        """
+        context, now = self._context, self._now()
+        if not context.target_backoff.names_backing_off(now):
+            return 0.0
+        names = [
+            name
+            for name, target in context.targets.items()
+            if target.pool == self._incoming.pool and not target.leaving
+        ]
+        seconds = context.target_backoff.seconds_until_any(names, now)
+        if now + seconds > self._grant_deadline:
+            return seconds
+        await asyncio.sleep(seconds)
+        return 0.0
+
+    async def _request_grant(self) -> Granted | Refused:
+        incoming = self._incoming
+        head, grant_deadline = incoming.head, self._grant_deadline
+        customer = incoming.customer.name if incoming.customer else ""
+        started = self._now() if self._is_retry else incoming.received
+        work = WorkInfo(
+            "",
+            head.request,
+            self._context.instance,
+            customer,
+            str(incoming.rank),
+            incoming.rank,
+            head.prompt_tokens,
+            max(1, head.expected_output),
+            0.0,
+            0.0,
+            False,
+            [],
+            list(self._avoid),
+            data_centre=self._context.data_centre,
+            identity=incoming.identity,
+            suspect=self._quarantine_status.suspect,
+            resting=self._context.target_backoff.names_backing_off(self._now()),
+            route=incoming.route.name,
+        )
+        grant_request = GrantRequest(
+            incoming.pool,
+            work,
+            grant_deadline,
+            False,
+            _ignore_stop,
+            incoming.due,
+            incoming.deadline,
+        )
+        try:
+            reply = await self._context.desk.ask(grant_request)
+        except MailboxFull:
+            reply = Refused(m.RefusalReason.LOAD, 1.0)
+        if isinstance(reply, Granted):
+            waited = self._now() - started
+            self._context.metrics.queue_wait.observe({"pool": incoming.pool}, waited)
+            self._grant = reply
+            self.granted_at = self._now()
+        return reply
+
+    def _quarantine_refusal(self) -> Refusal:
+        """Return a refusal with the cause and the remaining time of the quarantine."""
+        quarantine_status = self._quarantine_status
+        return Refusal(
+            quarantine_status.expires_in,
+            "quarantined",
+            problem=quarantine_status.problem,
+        )
+
+    def report_first_event(self) -> None:
+        """Report the first event of the response to the dispatcher."""
+        if self._grant is not None:
+            seconds = self._now() - self.granted_at
+            self._context.desk.tell(
+                FirstTokenReceived(self._incoming.pool, self._grant.ask, seconds)
+            )
+
+    def release_grant(
+        self,
+        outcome: m.GrantOutcome,
+        timing: StreamTiming | None = None,
+        first: bool = False,
+    ) -> None:
+        """Return the grant to the dispatcher.
+
+        Parameters
+        ----------
+        outcome : GrantOutcome
+            How the attempt ended.
+        timing : StreamTiming or None
+            Timing of the response's events; None if nothing was sent.
+        first : bool
+            Whether all of these events came from one target.
+        """
+        if self._grant is None:
+            return
+        ended = RequestEnded(
+            self._incoming.pool,
+            self._grant.ask,
+            outcome,
+            timing.events if timing else 0,
+            timing.decode_seconds if timing else 0.0,
+            longest_pause=timing.longest_pause if timing and first else 0.0,
+        )
+        self._grant = None
+        self._context.desk.tell(ended)
+
+    def _now(self) -> float:
+        return asyncio.get_running_loop().time()
+
+
+def _ignore_stop() -> None:
+    """Ignore a request to stop: forwarded requests are never stopped."""
--- /dev/null
+++ b/hibiscusstep/forwarding/incoming_request.py
@@ -0,0 +1,150 @@
+"""hibiscusstep.forwarding.incoming_request: admitted requests and shared services."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+import xxhash
+from aiohttp import web
+
+from hibiscusstep.dispatch_client import DispatchClient
+from hibiscusstep.dispatcher_host import DispatcherHost
+from hibiscusstep.forwarding.connections import ConnectionPool
+from hibiscusstep.forwarding.dialect import Dialect, RequestHead
+from hibiscusstep.forwarding.fingerprint import fingerprint
+from hibiscusstep.forwarding.metrics import ForwardingMetrics
+from hibiscusstep.forwarding.model import CustomerRule, DiscoveredTarget, ForwardRoute
+from hibiscusstep.forwarding.quarantine import Quarantine
+from hibiscusstep.forwarding.quota_request import QuotaRequest
+from hibiscusstep.forwarding.target_backoff import TargetBackoff
+from hibiscusstep.forwarding.windowed_retry_budget import WindowedRetryBudget
+
+__all__ = ["ForwardingContext", "IncomingRequest"]
+
+# Number of route ranks within one customer rank.
+ROUTE_RANKS = 16
+
+
+@dataclass(frozen=True, slots=True)
+class IncomingRequest:
+    """A caller's request, completely read and admitted.
+
+    Parameters
+    ----------
+    request : aiohttp.web.Request
+        The request in aiohttp's form.
+    head : RequestHead
+        Parsed header fields.
+    body : bytes
+        Request body.
+    route : ForwardRoute
+        The matching route.
+    pool : str
+        The chosen pool of the route.
+    customer : CustomerRule or None
+        The authenticated customer; None if the request needs no key.
+    received : float
+        Time of receipt of its head, in seconds on the loop's clock.
+    quota_request : QuotaRequest or None
+        Its request for tokens of the customer's quota.
+    """
+
+    request: web.Request
+    head: RequestHead
+    body: bytes
+    route: ForwardRoute
+    pool: str
+    customer: CustomerRule | None
+    received: float
+    quota_request: QuotaRequest | None = None
+
+    @property
+    def due(self) -> float:
+        """Time by which a response is on time, on the loop's clock.
+
+        It holds for a caller's first attempt: a caller that retries has waited before.
+        """
+        return self.received + self.route.objective
+
+    @property
+    def identity(self) -> int:
+        """Hash that is equal for all of a caller's attempts at one request, or 0.
+
+        Each attempt has an id of its own, so the hash covers the prompt's parts and
+        lengths. It is 0 for a request without a prompt, which is not recognized.
+        """
+        head = self.head
+        if not head.prompt_parts:
+            return 0
+        customer = self.customer.name if self.customer else ""
+        lengths = f"{head.prompt_tokens},{head.output_tokens},{head.expected_output}"
+        parts = (customer, self.request.raw_path, head.prompt_parts, lengths)
+        return xxhash.xxh64_intdigest("\0".join(parts).encode()) >> 1
+
+    def fingerprint(self) -> int:
+        """Return a hash of the whole request, equal for all attempts at it."""
+        request = self.request
+        host = request.headers.get("Host", "")
+        customer = self.customer.name if self.customer else ""
+        return fingerprint(request.method, host, request.raw_path, customer, self.body)
+
+    @property
+    def rank(self) -> int:
+        """Priority, 0 the highest: the customer's rank, then the route's."""
+        customer = self.customer
+        own = customer.rank if customer and customer.rank is not None else 0
+        return own * ROUTE_RANKS + min(self.route.rank, ROUTE_RANKS - 1)
+
+    @property
+    def deadline(self) -> float:
+        """Time by which the response has to be complete, on the loop's clock."""
+        caller_timeout = self.head.caller_timeout
+        timeout = self.route.timeout
+        return self.received + (
+            timeout if caller_timeout is None else min(caller_timeout, timeout)
+        )
+
+
+@dataclass(slots=True)
+class ForwardingContext:
+    """Services and state shared by all exchanges of an instance.
+
+    Parameters
+    ----------
+    instance : str
+        Name of this instance.
+    data_centre : str
+        Location of this instance.
+    dialect : Dialect
+        Reads and writes header fields.
+    desk : DispatchClient
+        Obtains grants from dispatchers.
+    dispatching : DispatcherHost
+        Receives the load that targets report.
+    connections : ConnectionPool
+        Connections to targets.
+    retries : WindowedRetryBudget
+        Limits retries.
+    targets : dict of str to DiscoveredTarget
+        All known targets by name.
+    metrics : ForwardingMetrics
+        Metrics of this instance.
+    quarantine : Quarantine
+        Records which requests crash targets.
+    target_backoff : TargetBackoff
+        Targets that asked this instance to back off.
+    on_target_leaving : callable of DiscoveredTarget
+        Called with a target whose response says that it is leaving.
+    """
+
+    instance: str
+    data_centre: str
+    dialect: Dialect
+    desk: DispatchClient
+    dispatching: DispatcherHost
+    connections: ConnectionPool
+    retries: WindowedRetryBudget
+    targets: dict[str, DiscoveredTarget]
+    metrics: ForwardingMetrics
+    quarantine: Quarantine
+    target_backoff: TargetBackoff
+    on_target_leaving: Callable[[DiscoveredTarget], None]
--- /dev/null
+++ b/hibiscusstep/hosted_dispatcher.py
@@ -0,0 +1,75 @@
+"""hibiscusstep.hosted_dispatcher: state of a hosted dispatcher; message conversion."""
+
+import asyncio
+from dataclasses import dataclass, field
+
+from hibiscusstep.peer import PoolLearnt, WorkInfo
+from hibiscusstep.routing import messages as m
+from hibiscusstep.routing.pool_dispatcher import PoolDispatcher
+
+__all__ = ["TICK_S", "HostedDispatcher", "to_estimates", "to_work"]
+
+# Seconds between a dispatcher's ticks, at which it applies timeouts.
+TICK_S = 0.05
+
+
+@dataclass(slots=True, eq=False)
+class HostedDispatcher:
+    """A dispatcher that this instance runs, and the state that its host keeps for it.
+
+    `registered_incarnations` are those that reported their requests,
+    `dropped_incarnations` those considered dead since. `addresses` and `last_heard_at`
+    are the peer address and the time of the last message of each instance.
+    `keepalives_sent_at` is the time of the last keepalives to instances with waiting
+    requests, `keepalive_interval_s` the seconds until the next. `state_logged_at` is
+    the time of the last log of the state, `rollout_reported_at` that of the last report
+    of the rollout's progress. `poller` reads the targets' load reports. `created_at` is
+    when the dispatcher was created, 0 for a standby dispatcher. Times are in seconds on
+    the loop's clock.
+    """
+
+    dispatcher: PoolDispatcher
+    registered_incarnations: set[str] = field(default_factory=set)
+    dropped_incarnations: set[str] = field(default_factory=set)
+    addresses: dict[str, str] = field(default_factory=dict)
+    last_heard_at: dict[str, float] = field(default_factory=dict)
+    poller: asyncio.Task | None = None
+    created_at: float = 0.0
+    state_logged_at: float = 0.0
+    keepalives_sent_at: float = 0.0
+    keepalive_interval_s: float = TICK_S
+    rollout_reported_at: float = 0.0
+
+
+def to_estimates(message: PoolLearnt, old: bool = False) -> m.LearnedEstimates:
+    """Convert a peer message into the message that a dispatcher handles."""
+    slowness = dict(zip(message.targets, message.slowness, strict=True))
+    return m.LearnedEstimates(
+        slowness, message.first, message.token, message.share, old
+    )
+
+
+def to_work(info: WorkInfo, now: float) -> m.Work:
+    """Convert a request's description, with times on the dispatcher's clock."""
+    return m.Work(
+        info.ask,
+        info.request,
+        info.instance,
+        info.customer,
+        info.tier,
+        info.rank,
+        info.prompt_tokens,
+        info.output_tokens,
+        now + info.deadline_in,
+        now - info.waited,
+        info.stoppable,
+        tuple(info.prefixes),
+        tuple(info.avoid),
+        now + info.due_in,
+        info.data_centre,
+        now + info.ends_in if info.ends_in else 0.0,
+        info.identity,
+        info.suspect,
+        tuple(info.resting),
+        info.route,
+    )
--- a/hibiscusstep/entry.py
+++ b/hibiscusstep/instance.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.entry: one instance: its tasks, how they are joined, its end."""
+"""hibiscusstep.instance: one instance: its tasks, their wiring and its shutdown."""
 
 import asyncio
 import logging
@@ -8,24 +8,24 @@
 import orjson
 from aiohttp import web
 
-from hibiscusstep.answers import AnswerKeeper
-from hibiscusstep.caller import CallerBorder
-from hibiscusstep.claims.claimer import Claimer
+from hibiscusstep.caller_server import CallerServer
+from hibiscusstep.claims.client import ClaimClient
 from hibiscusstep.claims.writer import ClaimWriter
-from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.configuration.keeper import ConfigurationKeeper
+from hibiscusstep.configuration.in_force import ConfigurationInForce
 from hibiscusstep.configuration.settings import Settings
-from hibiscusstep.delivery import Services
-from hibiscusstep.desk import Desk
-from hibiscusstep.dispatching import Dispatching
+from hibiscusstep.configuration.updater import ConfigurationUpdater
+from hibiscusstep.delivery import DeliveryServices
+from hibiscusstep.dispatch_client import DispatchClient
+from hibiscusstep.dispatcher_host import DispatcherHost
 from hibiscusstep.events import EventKind, NullRecorder, Recorder
 from hibiscusstep.explain import Explainer
-from hibiscusstep.keys import KeyGuard
+from hibiscusstep.idempotency import KeyGuard
+from hibiscusstep.kept_answers import AnswerKeeper
 from hibiscusstep.mailbox import Worker
+from hibiscusstep.membership.mesh import MeshMembership, OwnStateChange, ViewChanged
 from hibiscusstep.membership.view import View
-from hibiscusstep.membership.worker import Membership, OwnState, ViewChanged
 from hibiscusstep.metrics import Metrics
-from hibiscusstep.operators import OperatorBorder
+from hibiscusstep.operator_api import OperatorApi
 from hibiscusstep.peer import (
     AnswerAsk,
     AnswerReply,
@@ -50,28 +50,28 @@
     StatusReply,
 )
 from hibiscusstep.peerlink import LinkLost, PeerLinks, Send
-from hibiscusstep.routing.dispatcher import Dispatcher
-from hibiscusstep.routing.retries import RetryBudget
+from hibiscusstep.routing.policy_dispatcher import PolicyDispatcher
+from hibiscusstep.routing.retry_budget import RetryBudget
 from hibiscusstep.store import Platform, get_platform_by_name
-from hibiscusstep.supervisor import Child, Restart, Supervisor
+from hibiscusstep.supervisor import Child, RestartPolicy, Supervisor
 from hibiscusstep.targets.http import TargetSessions
 
-__all__ = ["Entry"]
+__all__ = ["Instance"]
 
 _LOG = logging.getLogger(__name__)
 READINESS_PAUSE_S = 0.3
 POOL_STATUS_TIMEOUT_S = 1.0
 
 
-class Entry:
-    """One instance of the system.
+class Instance:
+    """One instance of the scheduler.
 
     Parameters
     ----------
     settings : Settings
-        Of this instance.
+        The settings of this instance.
     platform : Platform or None
-        The platform; by default the one that the settings name.
+        The platform; None selects the one named in the settings.
     """
 
     def __init__(self, settings: Settings, platform: Platform | None = None) -> None:
@@ -81,9 +81,9 @@
         self._platform = platform or kind(settings.platform)
         self._sessions: TargetSessions | None = None
         self._view = View()
-        self._in_force = InForce()
+        self._in_force = ConfigurationInForce()
         self._draining = False
-        self._status_asked: dict[str, asyncio.Future] = {}
+        self._pending_status: dict[str, asyncio.Future] = {}
         self._recorder = self._make_recorder()
         self._explainer = Explainer()
         self._metrics = Metrics()
@@ -100,13 +100,13 @@
         return self._view
 
     @property
-    def in_force(self) -> InForce:
+    def in_force(self) -> ConfigurationInForce:
         """The configuration in force here."""
         return self._in_force
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer may send callers here."""
+        """Whether the load balancer may send callers to this instance."""
         return self._in_force.version > 0 and not self._draining
 
     @property
@@ -120,8 +120,8 @@
         self._make_workers()
         children = [
             *(Child(worker.name, worker.run) for worker in self._workers),
-            Child("operators", self._serve_operators, Restart.ESSENTIAL),
-            Child("callers", self._serve_callers, Restart.ESSENTIAL),
+            Child("operators", self._serve_operators, RestartPolicy.ESSENTIAL),
+            Child("callers", self._serve_callers, RestartPolicy.ESSENTIAL),
         ]
         self._supervisor = Supervisor(self._settings.name, children)
         try:
@@ -131,34 +131,34 @@
             await self._platform.close()
             self._recorder.close()
 
-    async def drain(self, spent: float = 0.0) -> None:
-        """Take no new requests and return when all answers are whole.
+    async def drain(self, elapsed: float = 0.0) -> None:
+        """Refuse new requests and return when all answers are complete.
 
         Parameters
         ----------
-        spent : float
-            Seconds since the instance was told to stop.
+        elapsed : float
+            Seconds since the instance was asked to stop.
         """
-        _LOG.info("draining", extra={"open": self._border.open_requests})
+        _LOG.info("draining", extra={"open": self._caller_server.open_requests})
         self._recorder.record(EventKind.SHUTDOWN_ASKED)
         self._draining = True
-        self._membership.tell(OwnState(leaving=True))
+        self._membership.tell(OwnStateChange(leaving=True))
         await asyncio.sleep(READINESS_PAUSE_S)
-        self._border.drain()
+        self._caller_server.drain()
         try:
-            async with asyncio.timeout(self._settings.drain_timeout - spent):
-                await self._border.wait_idle()
+            async with asyncio.timeout(self._settings.drain_timeout - elapsed):
+                await self._caller_server.wait_idle()
         except TimeoutError:
             self.cut("drain_timeout passed")
         self._recorder.record(EventKind.SHUTDOWN_DONE)
 
-    def cut(self, why: str) -> None:
-        """End what is open and say what it was."""
-        names = self._border.cut()
-        _LOG.warning("cut", extra={"why": why, "requests": names})
+    def cut(self, reason: str) -> None:
+        """Cancel all open requests and log their ids."""
+        names = self._caller_server.cut()
+        _LOG.warning("cut", extra={"why": reason, "requests": names})
 
     def reload(self) -> None:
-        """Say that settings are read at a start only."""
+        """Log that settings are not reloaded."""
         _LOG.warning("settings not reloaded: they are read at a start only")
 
     def _make_recorder(self) -> NullRecorder:
@@ -171,28 +171,30 @@
     def _make_workers(self) -> None:
         settings, name = self._settings, self._settings.name
         address = settings.peer_address
-        self._links = PeerLinks(address, settings.peer_key, self._route)
-        self._membership = Membership(
+        self._links = PeerLinks(address, settings.peer_key, self._deliver)
+        self._membership = MeshMembership(
             settings, self._incarnation, self._links, self._platform, self._on_view
         )
-        self._keeper = ConfigurationKeeper(
+        self._configuration_updater = ConfigurationUpdater(
             name, settings.watchers, self._platform, self._links, self._on_configuration
         )
-        self._dispatching = Dispatching(
+        self._dispatcher_host = DispatcherHost(
             name,
             address,
             self._links,
-            self._route,
+            self._deliver,
             self._sessions,
             tier_guard=settings.tier_guard_enabled,
-            kind=Dispatcher,
+            dispatcher_class=PolicyDispatcher,
+        )
+        self._dispatch_client = DispatchClient(
+            name, self._incarnation, address, self._links, self._deliver
         )
-        self._desk = Desk(name, self._incarnation, address, self._links, self._route)
         self._claim_writer = ClaimWriter(
-            name, address, self._platform, self._links, self._route
+            name, address, self._platform, self._links, self._deliver
         )
-        self._claimer = Claimer(
-            name, self._incarnation, address, self._links, self._route
+        self._claim_client = ClaimClient(
+            name, self._incarnation, address, self._links, self._deliver
         )
         self._answers = AnswerKeeper(
             name, self._incarnation, address, self._links, settings.kept_answer_bytes
@@ -200,26 +202,26 @@
         self._workers: list[Worker] = [
             self._links,
             self._membership,
-            self._keeper,
-            self._dispatching,
-            self._desk,
+            self._configuration_updater,
+            self._dispatcher_host,
+            self._dispatch_client,
             self._claim_writer,
-            self._claimer,
+            self._claim_client,
             self._answers,
         ]
-        self._make_borders()
-        self._receivers = self._make_routes()
+        self._make_servers()
+        self._receivers = self._make_receivers()
 
-    def _make_borders(self) -> None:
+    def _make_servers(self) -> None:
         keys = KeyGuard(
-            self._claimer,
+            self._claim_client,
             self._answers,
             self._recorder,
             enabled=self._settings.claims_enabled,
         )
-        services = Services(
+        services = DeliveryServices(
             self._settings.name,
-            self._desk,
+            self._dispatch_client,
             keys,
             self._sessions,
             self._recorder,
@@ -227,10 +229,10 @@
             RetryBudget(self._settings.retry_share),
         )
         settings = self._settings
-        self._border = CallerBorder(
+        self._caller_server = CallerServer(
             services, self._metrics, settings.body_timeout, settings.max_open_requests
         )
-        self._operators = OperatorBorder(
+        self._operators = OperatorApi(
             self._settings.operator_key,
             lambda: self.ready,
             self._status,
@@ -239,11 +241,11 @@
             self._metrics,
         )
 
-    def _make_routes(self) -> dict[type, Worker]:
-        table = {
+    def _make_receivers(self) -> dict[type, Worker]:
+        types_by_worker = {
             self._membership: (Heartbeat, Beat),
-            self._keeper: (ConfigurationAsk, ConfigurationReply),
-            self._dispatching: (
+            self._configuration_updater: (ConfigurationAsk, ConfigurationReply),
+            self._dispatcher_host: (
                 PoolAsk,
                 PoolWithdraw,
                 PoolFirstToken,
@@ -251,20 +253,24 @@
                 PoolRegister,
                 StatusAsk,
             ),
-            self._desk: (PoolGrant, PoolRefuse, PoolStop, NotDispatcher),
+            self._dispatch_client: (PoolGrant, PoolRefuse, PoolStop, NotDispatcher),
             self._claim_writer: (ClaimAsk, ClaimRelease),
-            self._claimer: (ClaimReply,),
+            self._claim_client: (ClaimReply,),
             self._answers: (AnswerAsk, AnswerReply),
         }
-        return {kind: worker for worker, kinds in table.items() for kind in kinds}
+        return {
+            kind: worker
+            for worker, message_types in types_by_worker.items()
+            for kind in message_types
+        }
 
-    def _route(self, message: Received | LinkLost) -> None:
-        """Bring a message from a peer, or between two local tasks, to its task."""
+    def _deliver(self, message: Received | LinkLost) -> None:
+        """Deliver a message from a peer or a local task to its receiver."""
         if isinstance(message, LinkLost):
-            for worker in (self._desk, self._membership, self._claimer):
+            for worker in (self._dispatch_client, self._membership, self._claim_client):
                 worker.tell(message)
         elif isinstance(message.message, StatusReply):
-            future = self._status_asked.pop(message.message.number, None)
+            future = self._pending_status.pop(message.message.number, None)
             if future and not future.done():
                 future.set_result(orjson.loads(message.message.text))
         else:
@@ -273,32 +279,32 @@
     def _on_view(self, changed: ViewChanged) -> None:
         self._view = changed.view
         for worker in (
-            self._keeper,
-            self._dispatching,
-            self._desk,
+            self._configuration_updater,
+            self._dispatcher_host,
+            self._dispatch_client,
             self._claim_writer,
-            self._claimer,
+            self._claim_client,
             self._answers,
         ):
             worker.tell(changed)
 
-    def _on_configuration(self, in_force: InForce) -> None:
+    def _on_configuration(self, in_force: ConfigurationInForce) -> None:
         self._in_force = in_force
         self._recorder.record(
             EventKind.CONFIGURATION_IN_FORCE, version=in_force.version
         )
-        self._border.take(in_force)
+        self._caller_server.set_configuration(in_force)
         for worker in (
-            self._dispatching,
-            self._desk,
+            self._dispatcher_host,
+            self._dispatch_client,
             self._claim_writer,
-            self._claimer,
+            self._claim_client,
         ):
             worker.tell(in_force)
-        self._membership.tell(OwnState(version=in_force.version, ready=True))
+        self._membership.tell(OwnStateChange(version=in_force.version, ready=True))
 
     async def _serve_callers(self) -> None:
-        await self._serve(self._border.app(), self._settings.caller_address)
+        await self._serve(self._caller_server.app(), self._settings.caller_address)
 
     async def _serve_operators(self) -> None:
         await self._serve(self._operators.app(), self._settings.operator_address)
@@ -318,17 +324,17 @@
             await runner.cleanup()
 
     def _refresh_gauges(self) -> None:
-        gauges = self._metrics
-        gauges.open_requests.set({}, self._border.open_requests)
-        gauges.version.set({}, self._in_force.version)
-        gauges.members.set({}, len(self._view.members))
-        gauges.restarts.set({}, self._supervisor.restarts)
-        writes, claims = self._claim_writer.totals
-        gauges.claim_writes.set({}, writes)
-        gauges.claims_written.set({}, claims)
+        metrics = self._metrics
+        metrics.open_requests.set({}, self._caller_server.open_requests)
+        metrics.version.set({}, self._in_force.version)
+        metrics.members.set({}, len(self._view.members))
+        metrics.restarts.set({}, self._supervisor.restarts)
+        writes, claims = self._claim_writer.write_counts
+        metrics.claim_writes.set({}, writes)
+        metrics.claims_written.set({}, claims)
 
     async def _status(self) -> dict:
-        """Return the members and the pools, each told by its dispatcher."""
+        """Return the members, and the state of each pool from its dispatcher."""
         configuration = self._in_force.configuration
         pools = list(configuration.pools) if configuration else []
         states = await asyncio.gather(*(self._pool_status(pool) for pool in pools))
@@ -336,7 +342,7 @@
             "instance": self._settings.name,
             "version": self._in_force.version,
             "ready": self.ready,
-            "doubtful": self._view.doubtful,
+            "doubtful": self._view.has_unreachable,
             "members": [
                 {
                     "name": member.name,
@@ -352,18 +358,18 @@
         }
 
     async def _pool_status(self, pool: str) -> dict:
-        name = self._view.dispatcher(pool)
+        name = self._view.dispatcher_of(pool)
         if name is None:
             return {}
         if name == self._settings.name:
-            return await self._dispatching.ask(StatusAsk("", pool))
+            return await self._dispatcher_host.ask(StatusAsk("", pool))
         number = secrets.token_hex(8)
         future = asyncio.get_running_loop().create_future()
-        self._status_asked[number] = future
+        self._pending_status[number] = future
         address = self._view.members[name].peer_address
         self._links.tell(Send(address, StatusAsk(number, pool)))
         try:
             return await asyncio.wait_for(future, POOL_STATUS_TIMEOUT_S)
         except TimeoutError:
-            self._status_asked.pop(number, None)
+            self._pending_status.pop(number, None)
             return {}
--- a/hibiscusstep/platform/surroundings.py
+++ b/hibiscusstep/platform/environment.py
@@ -1,9 +1,9 @@
-"""hibiscusstep.platform.surroundings: all that the adapter brings to an instance."""
+"""hibiscusstep.platform.environment: the platform's dependencies of an instance."""
 
 import socket
 from pathlib import Path
 
-from hibiscusstep.forwarding.surroundings import Surroundings
+from hibiscusstep.forwarding.environment import InstanceEnvironment
 from hibiscusstep.platform.client import (
     ObjectBeliefs,
     ObjectClient,
@@ -19,46 +19,46 @@
     TARGET_KIND,
     decode_rollout,
     decode_table,
+    decode_table_bytes,
     decode_target,
-    table_from_bytes,
 )
 from hibiscusstep.platform.headers import PlatformDialect
 from hibiscusstep.platform.settings import load_platform_settings
 from hibiscusstep.store import InstanceRecord
 
-__all__ = ["load_surroundings"]
+__all__ = ["load_environment"]
 
 READY_PATH = "/hibiscusstep/ready"
 
 
-def load_surroundings(
+def load_environment(
     path: Path, caller_socket: socket.socket | None = None
-) -> Surroundings:
-    """Return what an instance needs, by the platform's settings file.
+) -> InstanceEnvironment:
+    """Return the dependencies of an instance by the platform's settings file.
 
     Parameters
     ----------
     path : pathlib.Path
-        The file.
+        Path of the settings file.
     caller_socket : socket.socket or None
-        Listens for callers already.
+        Socket that already listens for callers, if any.
 
     Raises
     ------
     ConfigurationError
-        If the file cannot be read.
+        If the file is missing or malformed.
     """
     loaded = load_platform_settings(path)
     settings = loaded.instance
     client = ObjectClient(loaded.store_address)
-    roster = ObjectRoster(client, loaded.all_are_new)
+    roster = ObjectRoster(client, loaded.is_first_start)
     record = InstanceRecord(
         settings.name,
         settings.data_centre,
         settings.peer_address,
         capacity=settings.capacity,
     )
-    return Surroundings(
+    return InstanceEnvironment(
         settings=settings,
         bounds=loaded.bounds,
         ready_address=loaded.ready_address,
@@ -74,9 +74,9 @@
             client, ObjectFeed(client, ROLLOUT_KIND, decode_rollout)
         ),
         register=lambda: roster.register(record),
-        read_table=table_from_bytes,
+        read_table=decode_table_bytes,
         read_bounds=lambda: load_platform_settings(path).bounds,
-        on_store_restored=client.eras.tell,
+        on_store_restored=client.eras.set_on_restored,
         close=client.close,
         caller_socket=caller_socket,
     )
--- a/hibiscusstep/policy.py
+++ b/hibiscusstep/policy.py
@@ -1,16 +1,16 @@
-"""hibiscusstep.policy: how a pool orders its waiting requests and picks a target."""
+"""hibiscusstep.policy: the interface of placement policies."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
 
-from hibiscusstep.routing.estimate import TargetState
 from hibiscusstep.routing.messages import Work
+from hibiscusstep.routing.target_estimate import TargetEstimate
 
 __all__ = ["Policy", "get_policy_by_name"]
 
 
 class Policy(ABC):
-    """One way of placing requests.
+    """A rule that orders waiting requests and selects their targets.
 
     Attributes
     ----------
@@ -21,9 +21,9 @@
     tiered : bool
         Whether higher tiers go first and are shed last.
     fair : bool
-        Whether customers share by cost and short work goes before long.
+        Whether customers share fairly by cost and short requests go before long ones.
     refuses_early : bool
-        Whether work that cannot meet its deadline is refused on arrival.
+        Whether requests that cannot meet their deadline are refused on arrival.
     """
 
     name: str
@@ -32,30 +32,30 @@
     fair = False
     refuses_early = False
 
-    def long(self, work: Work, targets: Sequence[TargetState]) -> bool:
-        """Whether the work would hold up its neighbours; long work queues apart."""
+    def is_long(self, work: Work, targets: Sequence[TargetEstimate]) -> bool:
+        """Whether a request delays others on its target and so queues separately."""
         return False
 
     @abstractmethod
     def choose(
         self,
         work: Work,
-        targets: Sequence[TargetState],
-        live: Sequence[TargetState],
-        alone: bool,
-    ) -> TargetState | None:
-        """Return the target for a request, or None to let it wait.
+        targets: Sequence[TargetEstimate],
+        usable_targets: Sequence[TargetEstimate],
+        urgent: bool,
+    ) -> TargetEstimate | None:
+        """Return the target for a request, or None if it should wait.
 
         Parameters
         ----------
         work : Work
             The request.
-        targets : sequence of TargetState
-            Those that have room for it; at least one.
-        live : sequence of TargetState
-            All that take work at present, those without room too.
-        alone : bool
-            Whether the bounds that only spare others must give way.
+        targets : sequence of TargetEstimate
+            Targets with a free slot; at least one.
+        usable_targets : sequence of TargetEstimate
+            All targets that accept requests, including those without a free slot.
+        urgent : bool
+            Whether to ignore the limits that only protect other requests.
         """
 
 
--- a/hibiscusstep/rollout/news.py
+++ b/hibiscusstep/rollout/rollout_update.py
@@ -1,29 +1,29 @@
-"""hibiscusstep.rollout.news: what a dispatcher tells of the order it carries out."""
+"""hibiscusstep.rollout.rollout_update: progress of a rollout order."""
 
 from dataclasses import dataclass
 
 from hibiscusstep.rollout.controller import RolloutProgress
 from hibiscusstep.rollout.order import RolloutState
 
-__all__ = ["RolloutNews"]
+__all__ = ["RolloutUpdate"]
 
 
 @dataclass(frozen=True, slots=True)
-class RolloutNews:
-    """What a dispatcher of this instance did for an order.
+class RolloutUpdate:
+    """Progress of an order that a dispatcher of this instance carries out.
 
     Parameters
     ----------
     pool : str
-        Whose.
+        The pool.
     number : int
-        Of the order.
+        Number of the order.
     progress : RolloutProgress
-        How far it came.
+        Progress so far.
     state : RolloutState or None
-        How it ended, if it did.
+        Final state; None while the order is running.
     reason : str
-        Why.
+        Reason for the final state.
     """
 
     pool: str
--- a/hibiscusstep/routing/plan.py
+++ b/hibiscusstep/routing/dispatch_plan.py
@@ -1,15 +1,15 @@
-"""hibiscusstep.routing.plan: which targets a dispatcher with slots may use."""
+"""hibiscusstep.routing.dispatch_plan: pools and targets of slot dispatchers."""
 
 from dataclasses import dataclass, field
 
 from hibiscusstep.rollout.controller import PlannedRollout
 
-__all__ = ["Plan", "PlannedPool", "PlannedTarget"]
+__all__ = ["DispatchPlan", "PlannedPool", "PlannedTarget"]
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedTarget:
-    """A target that may be dispatched to, and how much at once."""
+    """A target that may be granted requests, and how many it serves at a time."""
 
     slots: int
     leaving: bool = False
@@ -19,25 +19,25 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedPool:
-    """A pool.
+    """A pool and its targets.
 
     Parameters
     ----------
-    engine : bool
+    is_engine : bool
         Whether its targets are model engines.
     tokens_per_event : int
-        Tokens that an event of its streams holds.
+        Number of tokens in an event of its streams.
     max_pause : float
-        Seconds between two events of a stream that is on time, at the most.
+        Maximum seconds between two events of a stream that is in time.
     targets : dict of str to PlannedTarget
         Its targets by name.
     serving : frozenset of str
-        Versions of its targets that are in force; empty if all are.
+        Current versions, whose targets receive requests; empty if all targets do.
     rollout : PlannedRollout or None
-        An order to move its traffic to another version.
+        A rollout that moves its traffic to another version.
     """
 
-    engine: bool
+    is_engine: bool
     tokens_per_event: int = 1
     max_pause: float = 1.0
     targets: dict[str, PlannedTarget] = field(default_factory=dict)
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """The pools to dispatch, by name."""
+class DispatchPlan:
+    """Pools to dispatch, by name."""
 
     pools: dict[str, PlannedPool] = field(default_factory=dict)
--- a/hibiscusstep/routing/engine_model.py
+++ b/hibiscusstep/routing/engine_model.py
@@ -1,36 +1,37 @@
-"""hibiscusstep.routing.engine_model: how long a pool's engines take, learnt."""
+"""hibiscusstep.routing.engine_model: learned service times of a pool's engines."""
 
 import math
 from dataclasses import InitVar, dataclass, field
 
-__all__ = ["AnswerLengths", "EngineModel", "ReadingShare", "ServiceTimes"]
+__all__ = ["AnswerLengths", "EngineModel", "PrefillChunk", "ServiceTimes"]
 
-# First guesses, of one engine in use: seconds before a first token, prompt tokens read
-# in a second, seconds of a token while half of the slots are taken. The first two are
-# learnt for each pool; how slow a target is against the third, for each target.
+# Initial estimates, from one engine in use: seconds to a first token, prompt tokens per
+# second of prefill, and seconds per output token with half of the slots taken. The
+# first two are learned for each pool. The slowness of each target is learned too: how
+# many times as long as the third a token takes there.
 FIRST_TOKEN_S = 0.014
 PREFILL_TOKENS_PER_S = 48_200.0
-STEP_S = 0.0031
-# The first guess counts as much as one answer, half of it to a short prompt and half
-# to a long one: with the figures of one engine for another the first few answers
-# prevail.
+ENGINE_STEP_S = 0.0031
+# Weight of the initial estimate, in answers, split between a short and a long prompt.
+# If the engine differs from that one, its first few answers prevail.
 PRIOR_ANSWERS = 1.0
 PRIOR_PROMPTS = (200.0, 6000.0)
-# Weight that older observations keep with each new one: half after some 140 answers.
-KEEP = 0.995
-# Bounds of what is believed, against single odd observations.
+# Factor by which each new observation reduces the weight of older ones: half after
+# about 140 answers.
+RETENTION = 0.995
+# Bounds of the estimates, against single outliers.
 MIN_FIRST_S, MAX_FIRST_S = 0.001, 2.0
 MIN_TOKEN_S, MAX_TOKEN_S = 1e-7, 1e-3
 
 
 @dataclass(slots=True)
 class EngineModel:
-    """Seconds before the first token of an answer, on a target of slowness 1.
+    """Time to the first token of an answer at slowness 1, in seconds.
 
-    A straight line over the prompt's tokens, by least squares over what was observed
-    with nothing else to read at the target. Long prompts were reckoned at more than
-    twice their time where engines read faster than the first guess says, so that slow
-    targets were kept from prompts which they could have read in time.
+    A linear regression over the number of prompt tokens, from observations without any
+    other prefill at the target. With the initial estimate alone, an engine with a
+    faster prefill had long prompts estimated at more than twice their time, so that
+    slow targets did not get prompts which they could have processed in time.
     """
 
     _weight: float = 0.0
@@ -38,43 +39,47 @@
     _xx: float = 0.0
     _y: float = 0.0
     _xy: float = 0.0
-    first: float = FIRST_TOKEN_S
-    token: float = 1.0 / PREFILL_TOKENS_PER_S
-    learnt: int = 0
+    base_seconds: float = FIRST_TOKEN_S
+    seconds_per_token: float = 1.0 / PREFILL_TOKENS_PER_S
+    observations: int = 0
 
     def __post_init__(self) -> None:
-        """Begin with the first guess."""
-        self.believe(self.first, self.token)
+        """Start from the initial estimate."""
+        self.reset(self.base_seconds, self.seconds_per_token)
 
-    def believe(self, first: float, token: float) -> None:
-        """Begin with what others learnt."""
-        self.first, self.token = first, token
+    def reset(self, first: float, token: float) -> None:
+        """Restart from other initial estimates, in seconds, of another dispatcher."""
+        self.base_seconds, self.seconds_per_token = first, token
         self._weight = self._x = self._xx = self._y = self._xy = 0.0
         for prompt in PRIOR_PROMPTS:
             weight = PRIOR_ANSWERS / len(PRIOR_PROMPTS)
             self._add(prompt, first + prompt * token, weight)
 
-    def prefill(self, prompt_tokens: int) -> float:
-        """Return the seconds for which a prompt is read."""
-        return prompt_tokens * self.token
+    def prefill_seconds(self, prompt_tokens: int) -> float:
+        """Return the prefill time of a prompt in seconds."""
+        return prompt_tokens * self.seconds_per_token
 
-    def cost(self, prompt_tokens: int, output_tokens: float) -> float:
-        """Return the seconds of a whole answer."""
-        return self.first + self.prefill(prompt_tokens) + output_tokens * STEP_S
+    def answer_seconds(self, prompt_tokens: int, output_tokens: float) -> float:
+        """Return the time of a complete answer in seconds."""
+        return (
+            self.base_seconds
+            + self.prefill_seconds(prompt_tokens)
+            + output_tokens * ENGINE_STEP_S
+        )
 
-    def learn(self, prompt_tokens: int, seconds: float) -> None:
-        """Learn from a first token, in seconds as on a target of slowness 1."""
+    def observe(self, prompt_tokens: int, seconds: float) -> None:
+        """Update the estimates by a time to the first token, scaled to slowness 1."""
         for name in ("_weight", "_x", "_xx", "_y", "_xy"):
-            setattr(self, name, KEEP * getattr(self, name))
-        self.learnt += 1
+            setattr(self, name, RETENTION * getattr(self, name))
+        self.observations += 1
         self._add(prompt_tokens, seconds, 1.0)
         spread = self._weight * self._xx - self._x**2
         if spread <= 0:
             return
         token = (self._weight * self._xy - self._x * self._y) / spread
-        self.token = min(MAX_TOKEN_S, max(MIN_TOKEN_S, token))
-        first = (self._y - self.token * self._x) / self._weight
-        self.first = min(MAX_FIRST_S, max(MIN_FIRST_S, first))
+        self.seconds_per_token = min(MAX_TOKEN_S, max(MIN_TOKEN_S, token))
+        first = (self._y - self.seconds_per_token * self._x) / self._weight
+        self.base_seconds = min(MAX_FIRST_S, max(MIN_FIRST_S, first))
 
     def _add(self, prompt: float, seconds: float, weight: float) -> None:
         self._weight += weight
@@ -84,129 +89,139 @@
         self._xy += weight * prompt * seconds
 
 
-# Weight of a new observation of a log-normal ratio: some 20 count.
-LENGTH_LEARN = 0.05
+# Weight of a new observation of a log-normal ratio: about 20 observations count.
+RATIO_LEARNING_RATE = 0.05
 
 
 @dataclass(slots=True)
-class LogNormal:
-    """A ratio that is taken as log-normal, learnt.
+class LogNormalRatio:
+    """Running estimate of a log-normally distributed ratio.
 
     Parameters
     ----------
     spread : float
-        First guess of the standard deviation of its logarithm.
+        Initial standard deviation of the ratio's logarithm.
     """
 
     spread: InitVar[float]
     _mean: float = 0.0
-    _square: float = field(init=False)
+    _variance: float = field(init=False)
 
     def __post_init__(self, spread: float) -> None:
-        """Begin with the first guess."""
-        self._square = spread**2
+        """Start from the initial estimate."""
+        self._variance = spread**2
 
-    def learn(self, ratio: float) -> None:
-        """Learn from an observation."""
+    def observe(self, ratio: float) -> None:
+        """Update the estimate by an observation."""
         value = math.log(ratio)
-        self._mean += LENGTH_LEARN * (value - self._mean)
-        off = (value - self._mean) ** 2
-        self._square += LENGTH_LEARN * (off - self._square)
+        self._mean += RATIO_LEARNING_RATE * (value - self._mean)
+        squared_error = (value - self._mean) ** 2
+        self._variance += RATIO_LEARNING_RATE * (squared_error - self._variance)
 
     def above_median(self, deviations: float) -> float:
-        """Return the ratio so many standard deviations above the median."""
-        return math.exp(self._mean + deviations * math.sqrt(self._square))
+        """Return the ratio at a number of standard deviations above the median."""
+        return math.exp(self._mean + deviations * math.sqrt(self._variance))
 
 
-# First guess of the spread of an answer's length against its hint, and the deviations
-# that are allowed for: four answers of five are shorter.
-FIRST_SPREAD = 0.5
-CAUTION = 0.84
+# Initial spread of an answer's length relative to its hint, and the number of standard
+# deviations for the upper bound: four of five answers are shorter.
+INITIAL_LENGTH_SPREAD = 0.5
+LENGTH_DEVIATIONS = 0.84
 
 
 @dataclass(slots=True)
 class AnswerLengths:
-    """How long answers are against what callers expect, learnt.
+    """Learned ratio of the lengths of answers to the callers' hints.
 
-    Callers' hints are right at the median and far off for many.
+    The median of the hints is right, but many are far off.
     """
 
-    _ratio: LogNormal = field(default_factory=lambda: LogNormal(FIRST_SPREAD))
+    _ratio: LogNormalRatio = field(
+        default_factory=lambda: LogNormalRatio(INITIAL_LENGTH_SPREAD)
+    )
 
-    def learn(self, expected: int, tokens: int) -> None:
-        """Learn from a whole answer."""
-        self._ratio.learn(max(1, tokens) / max(1, expected))
+    def observe(self, expected: int, tokens: int) -> None:
+        """Update the estimate by a complete answer."""
+        self._ratio.observe(max(1, tokens) / max(1, expected))
 
-    def cautious(self, expected: int) -> float:
-        """Return a length that four answers of five keep below."""
-        return expected * self._ratio.above_median(CAUTION)
+    def upper_bound(self, expected: int) -> float:
+        """Return a length in tokens that four of five answers do not exceed."""
+        return expected * self._ratio.above_median(LENGTH_DEVIATIONS)
 
 
-# The same of a plain service's times against its target's mean: nine of ten are
-# shorter. Of a time that the clock does not resolve this much is believed.
-FIRST_SERVICE_SPREAD = 0.4
-SERVICE_CAUTION = 1.28
-LEAST_SERVICE_RATIO = 1e-3
+# Initial spread of a plain service's times relative to the mean of the target, and the
+# number of standard deviations for the upper bound: nine of ten are shorter. The
+# minimum ratio is used for times below the resolution of the clock.
+INITIAL_SERVICE_SPREAD = 0.4
+SERVICE_DEVIATIONS = 1.28
+MIN_SERVICE_RATIO = 1e-3
 
 
 @dataclass(slots=True)
 class ServiceTimes:
-    """How long a plain service's requests take against the mean, learnt."""
+    """Learned ratio of a plain service's service times to their mean."""
 
-    _ratio: LogNormal = field(default_factory=lambda: LogNormal(FIRST_SERVICE_SPREAD))
+    _ratio: LogNormalRatio = field(
+        default_factory=lambda: LogNormalRatio(INITIAL_SERVICE_SPREAD)
+    )
 
-    def learn(self, ratio: float) -> None:
-        """Learn from a request that took so many times its target's mean."""
-        self._ratio.learn(max(LEAST_SERVICE_RATIO, ratio))
+    def observe(self, ratio: float) -> None:
+        """Update the estimate by the ratio of a service time to the target's mean."""
+        self._ratio.observe(max(MIN_SERVICE_RATIO, ratio))
 
     @property
-    def cautious(self) -> float:
-        """Times the mean that nine of ten requests keep below."""
-        return self._ratio.above_median(SERVICE_CAUTION)
+    def upper_ratio(self) -> float:
+        """Multiple of the mean that nine of ten requests do not exceed."""
+        return self._ratio.above_median(SERVICE_DEVIATIONS)
 
 
-# Prompts are read in parts between the tokens of other streams; until one has been
-# seen, it is taken that a prompt of any length is read between two events.
-FIRST_SHARE_S = 10.0
-# So much to read takes many parts, and a stream sees a whole share of it; less than
-# the second is never believed.
-MANY_PARTS_S = 0.2
-MIN_SHARE_S = 0.005
-# Weight of a new observation, larger for a longer pause than believed: what is too long
-# for callers shall be rare.
-SHARE_LEARN_UP, SHARE_LEARN_DOWN = 0.2, 0.05
+# Engines process prompts in chunks between the tokens of other streams. Until a chunk
+# has been observed, a prompt of any length is assumed to be processed between two
+# events.
+UNKNOWN_CHUNK_S = 10.0
+# A prefill of this many seconds takes many chunks, so that a stream is delayed by a
+# full one. The second value is the lower bound of the estimated seconds of a chunk.
+MULTI_CHUNK_S = 0.2
+MIN_CHUNK_S = 0.005
+# Weight of a new observation. It is larger for a pause above the estimate, since pauses
+# that are too long for callers must be rare.
+CHUNK_INCREASE_RATE, CHUNK_DECREASE_RATE = 0.2, 0.05
 
 
 @dataclass(slots=True)
-class ReadingShare:
-    """Seconds of prompts read between two events of a stream, at slowness 1, learnt.
+class PrefillChunk:
+    """Learned seconds of prefill between two events of a stream, at slowness 1.
 
-    However much there is to read, no more than a part of it is read at each step. With
-    the part guessed at half, one in seven answers of the slow targets had a pause
-    beyond what its route allows.
+    An engine processes no more than a chunk of a prompt per step, however long the
+    prompt is. With a chunk estimated at half its size, one in seven answers of the slow
+    targets had a pause beyond its route's limit.
     """
 
-    most: float = FIRST_SHARE_S
+    max_seconds: float = UNKNOWN_CHUNK_S
 
-    def between_events(self, to_read: float) -> float:
-        """Return the seconds of so much that are read between two events."""
-        return min(self.most, to_read)
+    def between_events(self, prefill_seconds: float) -> float:
+        """Return the seconds of pending prefill that run between two events."""
+        return min(self.max_seconds, prefill_seconds)
 
-    def learn(self, pause: float, to_read: float) -> None:
-        """Learn from the longest pause of an answer.
+    def observe(self, pause: float, prefill_seconds: float) -> None:
+        """Update the estimate by the longest pause of an answer.
 
         Parameters
         ----------
         pause : float
-            Its seconds beside the time of the tokens.
-        to_read : float
-            The most that was to be read beside it; less than is believed to be read
-            between two events tells nothing.
+            The pause in seconds, without the time of the tokens.
+        prefill_seconds : float
+            Maximum pending prefill beside the answer, in seconds. Less than the
+            estimated chunk says nothing about its size.
         """
-        if to_read < min(self.most, MANY_PARTS_S):
+        if prefill_seconds < min(self.max_seconds, MULTI_CHUNK_S):
             return
-        if self.most == FIRST_SHARE_S:
-            self.most = max(MIN_SHARE_S, pause)
+        if self.max_seconds == UNKNOWN_CHUNK_S:
+            self.max_seconds = max(MIN_CHUNK_S, pause)
             return
-        weight = SHARE_LEARN_UP if pause > self.most else SHARE_LEARN_DOWN
-        self.most = max(MIN_SHARE_S, self.most + weight * (pause - self.most))
+        weight = (
+            CHUNK_INCREASE_RATE if pause > self.max_seconds else CHUNK_DECREASE_RATE
+        )
+        self.max_seconds = max(
+            MIN_CHUNK_S, self.max_seconds + weight * (pause - self.max_seconds)
+        )
--- a/hibiscusstep/routing/messages.py
+++ b/hibiscusstep/routing/messages.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.messages: what a dispatcher is told and what it decides."""
+"""hibiscusstep.routing.messages: input messages and decisions of a dispatcher."""
 
 import enum
 from dataclasses import dataclass, field
@@ -6,37 +6,40 @@
 from hibiscusstep.rollout.order import RolloutState
 
 __all__ = [
-    "Adopt",
-    "Ask",
-    "Conclude",
+    "AdoptRunning",
+    "ConcludeRollout",
     "Configure",
-    "Doubt",
     "Decision",
     "Finished",
     "FirstToken",
     "Grant",
-    "Held",
-    "Inquire",
-    "Learnt",
+    "GrantLost",
+    "GrantOutcome",
+    "HeldGrants",
     "InstanceGone",
+    "LearnedEstimates",
     "LoadReport",
-    "Lost",
-    "Outcome",
-    "Reason",
+    "QueryGrants",
     "Recovered",
+    "RefusalReason",
     "Refuse",
+    "RequestGrant",
     "Stop",
+    "SuspectPartition",
     "Tick",
     "Withdraw",
     "Work",
 ]
 
 
-class Outcome(enum.StrEnum):
+class GrantOutcome(enum.StrEnum):
     """How a granted request ended at its target.
 
-    `FAILED` is a target's own answer that it failed, `REJECTED` one that it did not
-    run the request, `UNUSED` a grant that was not taken up.
+    `FAILED`: the target answered with an error. `REJECTED`: the target answered that
+    it did not run the request. `UNREACHABLE`: the request was not sent. `BROKEN`: it
+    was sent, but the answer broke off, was invalid or timed out. `CANCELLED`: its
+    caller disconnected or it was stopped. `UNUSED`: the instance did not use the
+    grant. `LEAVING`: the target accepts no more requests.
     """
 
     DONE = "done"
@@ -49,8 +52,15 @@
     LEAVING = "leaving"
 
 
-class Reason(enum.StrEnum):
-    """Why a request was refused, or stopped."""
+class RefusalReason(enum.StrEnum):
+    """Why a request was refused or stopped.
+
+    `LOAD`: the pool is overloaded. `DEADLINE`: it was not granted in time.
+    `HIGHER_TIER`: requests of higher tiers need the pool. `IMPOSSIBLE`: it would be
+    late on an idle target too. `CUSTOMER_LIMIT`: its customer has too many waiting
+    requests. `NO_TARGET`: no target accepts requests. `UNAVAILABLE`: its tier is not
+    known, or part of the system cannot be reached.
+    """
 
     LOAD = "load"
     DEADLINE = "deadline"
@@ -63,45 +73,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """A request as the dispatcher sees it.
+    """A request as its dispatcher knows it; times are seconds on its clock.
 
     Parameters
     ----------
     ask : str
-        Unique id of this ask; a repeated ask of a request has a new one.
+        Id of this grant request; each new one for the same request has a new id.
     request, instance : str
-        Whose it is: the request's id and the instance that holds it.
+        Id of the request, and name of the instance that received it.
     customer, tier : str
-        Names.
+        Names of the customer and the tier.
     rank : int
         Rank of the tier, 0 the highest.
     prompt_tokens, output_tokens : int
-        Estimated by the instance; 0 prompt tokens for a plain service.
+        Estimates by the instance; 0 prompt tokens for a plain service.
     deadline : float
-        When the first byte is due, in seconds on the dispatcher's clock.
-    received : float
-        When it was received, in seconds on the dispatcher's clock.
+        Time at which the first byte is due.
+    received_at : float
+        Time of receipt.
     stoppable : bool
         Whether it may be stopped while it runs.
     prefixes : tuple of int
-        Hashes of leading parts of the prompt, shortest first.
+        Hashes of prompt prefixes, the shortest first.
     avoid : tuple of str
-        Targets that failed this request before.
-    due : float
-        When the first token is on time at the latest, on the dispatcher's clock; 0 if
-        not told.
+        Targets at which an earlier attempt failed.
+    first_token_due : float
+        Latest time at which the first token counts as on time; 0 if not given.
     data_centre : str
-        Where the instance runs.
-    ends : float
-        When the whole answer must have come, on the dispatcher's clock; 0 if not told.
+        Data centre of the instance.
+    answer_due : float
+        Time at which the whole answer is due; 0 if not given.
     identity : int
-        The same for all attempts of a caller at one request; 0 if not known.
+        Identifier common to all attempts of a caller at one request; 0 if not known.
     suspect : int
-        The request's fingerprint if targets crashed under it, else 0.
-    resting : tuple of str
-        Targets that want nothing from the instance for now; none of them is granted.
+        Fingerprint of the request if targets crashed while they ran it, else 0.
+    avoided_by_backoff : tuple of str
+        Targets that accept no requests from the instance for now; none is granted.
     route : str
-        By which it came.
+        Name of the route.
     """
 
     ask: str
@@ -113,36 +122,36 @@
     prompt_tokens: int
     output_tokens: int
     deadline: float
-    received: float
+    received_at: float
     stoppable: bool = False
     prefixes: tuple[int, ...] = ()
     avoid: tuple[str, ...] = ()
-    due: float = 0.0
+    first_token_due: float = 0.0
     data_centre: str = ""
-    ends: float = 0.0
+    answer_due: float = 0.0
     identity: int = 0
     suspect: int = 0
-    resting: tuple[str, ...] = ()
+    avoided_by_backoff: tuple[str, ...] = ()
     route: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """A request wants a target."""
+class RequestGrant:
+    """A request asks for a target."""
 
     work: Work
 
 
 @dataclass(frozen=True, slots=True)
 class Withdraw:
-    """The request no longer wants one, or does not use its grant."""
+    """A request no longer needs a target or does not use its grant."""
 
     ask: str
 
 
 @dataclass(frozen=True, slots=True)
 class FirstToken:
-    """The answer's first token came `seconds` after the dispatch."""
+    """The first token of the answer arrived `seconds` after the dispatch."""
 
     ask: str
     seconds: float
@@ -155,22 +164,22 @@
     Parameters
     ----------
     ask : str
-        The ask that was granted.
-    outcome : Outcome
-        How.
+        Id of the grant.
+    outcome : GrantOutcome
+        How the request ended.
     tokens : int
-        Tokens of the answer.
+        Number of tokens of the answer.
     decode_seconds : float
-        Seconds from the first to the last token; if the answer came in one piece,
-        minus the seconds from dispatch to its end; 0 if not known.
+        Seconds from the first to the last token; for an answer that was not streamed,
+        the negative of the seconds from dispatch to its end; 0 if not known.
     computed : int
-        Prompt tokens that the target says it computed; -1 if it does not say.
+        Prompt tokens that the target reports as computed; -1 if not reported.
     longest_pause : float
-        The longest pause between two events, in seconds; 0 if not known.
+        Longest pause between two stream events in seconds; 0 if not known.
     """
 
     ask: str
-    outcome: Outcome
+    outcome: GrantOutcome
     tokens: int = 0
     decode_seconds: float = 0.0
     computed: int = -1
@@ -178,39 +187,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
-    """All grants that an instance holds; what else is counted for it got lost."""
+class HeldGrants:
+    """All grants that an instance holds; others counted for it are lost."""
 
     instance: str
     asks: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
-class Learnt:
-    """What a dispatcher of the pool learnt, or one before a restart of all.
+class LearnedEstimates:
+    """Estimates of another dispatcher of the pool, or of one before a full restart.
 
     Parameters
     ----------
     slowness : dict of str to float
-        Of targets by name.
-    first, token : float
-        Seconds before a first token, and of a prompt's token; 0 if not learnt.
-    share : float
-        Seconds of prompts that are read between two events; 0 if not learnt.
-    old : bool
-        Whether it only stands in for what is not known yet.
+        Slowness factor by name of target.
+    base_seconds, seconds_per_prompt_token : float
+        Seconds to the first token, and seconds of prefill per prompt token; 0 if not
+        known.
+    prefill_chunk_s : float
+        Seconds of prefill that a target does between two stream events; 0 if not
+        known.
+    is_fallback : bool
+        Whether they only fill in for estimates that are not known yet.
     """
 
     slowness: dict[str, float]
-    first: float = 0.0
-    token: float = 0.0
-    share: float = 0.0
-    old: bool = False
+    base_seconds: float = 0.0
+    seconds_per_prompt_token: float = 0.0
+    prefill_chunk_s: float = 0.0
+    is_fallback: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a target said of itself, some time ago."""
+    """The last load report of a target; it may be out of date."""
 
     target: str
     running: int
@@ -220,8 +231,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Adopt:
-    """An instance reports a request that already runs, after a change of dispatcher."""
+class AdoptRunning:
+    """A running request, reported by its instance after a change of dispatcher."""
 
     work: Work
     target: str
@@ -229,22 +240,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Recovered:
-    """Every live instance has reported; grants may begin."""
+    """All live instances have registered; the dispatcher may decide."""
 
 
 @dataclass(frozen=True, slots=True)
-class Doubt:
-    """Whether another dispatcher may be at work beyond a cut.
+class SuspectPartition:
+    """Whether another dispatcher may be active on the far side of a partition.
 
-    In doubt nothing is refused for load: what the other side serves is not known.
+    While this is so nothing is refused for load, because the load on the other side is
+    not known.
     """
 
-    doubtful: bool
+    is_suspected: bool
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceGone:
-    """An instance is dead; what it held is void."""
+    """An instance is dead; its requests and grants are dropped."""
 
     instance: str
 
@@ -263,18 +275,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """The request goes to `target`.
+    """A request is assigned to `target`.
 
     Parameters
     ----------
     work : Work
         The request.
     target : str
-        Where it goes.
+        Name of the target.
     wait : float
-        Seconds it waited.
+        Seconds that it waited.
     candidates : dict of str to float
-        Estimated seconds to the end of the answer, by target weighed.
+        Estimated seconds to the end of the answer, by candidate target; from a slot
+        dispatcher the weighted cost in seconds.
     """
 
     work: Work
@@ -285,50 +298,50 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """The request is not run; come back in `retry_after` seconds."""
+    """A request is not run; the caller may retry after `retry_after` seconds."""
 
     work: Work
-    reason: Reason
+    reason: RefusalReason
     retry_after: float
 
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """The running request must end, to make way for a higher tier."""
+    """A running request is cancelled to free its slot for a higher tier."""
 
     work: Work
     target: str
 
 
 @dataclass(frozen=True, slots=True)
-class Inquire:
-    """An instance is asked which grants it holds: some should have ended."""
+class QueryGrants:
+    """An instance must report its grants, because some should have ended."""
 
     instance: str
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
-    """A granted request counts no more: its instance did not say that it holds it."""
+class GrantLost:
+    """A grant is released because its instance did not confirm it."""
 
     work: Work
     target: str
 
 
 @dataclass(frozen=True, slots=True)
-class Conclude:
-    """An order to move the pool's traffic to a version is concluded.
+class ConcludeRollout:
+    """The rollout of a version to the pool has ended.
 
     Parameters
     ----------
     version : str
-        The version.
+        Name of the version.
     number : int
-        Of the order.
+        Number of the rollout order.
     state : RolloutState
-        How it ended.
+        How the rollout ended.
     reason : str
-        Why, for operators.
+        Reason, for operators.
     """
 
     version: str
@@ -337,4 +350,4 @@
     reason: str
 
 
-Decision = Grant | Refuse | Stop | Inquire | Lost | Conclude
+Decision = Grant | Refuse | Stop | QueryGrants | GrantLost | ConcludeRollout
--- /dev/null
+++ b/hibiscusstep/routing/slot_dispatcher.py
@@ -0,0 +1,492 @@
+"""hibiscusstep.routing.slot_dispatcher: dispatcher for targets with fixed slots.
+
+These targets serve requests in order of arrival and know no priorities. Requests
+therefore queue at the dispatcher, which never grants a target more requests than it has
+slots.
+"""
+
+import math
+
+from hibiscusstep.rollout.controller import Rollout
+from hibiscusstep.routing import messages as m
+from hibiscusstep.routing.dispatch_plan import DispatchPlan, PlannedPool
+from hibiscusstep.routing.grant_monitor import GrantMonitor, LostRequests
+from hibiscusstep.routing.pool_dispatcher import PoolDispatcher
+from hibiscusstep.routing.rank_floor import RankFloor
+from hibiscusstep.routing.slot_queue import RefusedRequests, SlotQueue
+from hibiscusstep.routing.slot_target import Run, SlotTarget
+from hibiscusstep.routing.suspect_isolation import exclude_suspect_targets
+from hibiscusstep.routing.switches import ALL_ENABLED, Switches
+from hibiscusstep.routing.target_selector import TargetSelector
+from hibiscusstep.routing.target_subset import TargetSubset
+from hibiscusstep.routing.version_partition import VersionPartition
+from hibiscusstep.routing.wait_limits import (
+    MAX_RETRY_AFTER_S,
+    retry_after,
+    wait_deadline,
+)
+
+__all__ = ["SlotDispatcher"]
+
+# Maximum number of queued requests that are examined in one scheduling pass.
+MAX_EXAMINED = 8
+# The same limit if some of the requests may run only on certain targets.
+MAX_EXAMINED_RESTRICTED = 64
+# Maximum time in which a grant reaches its instance. A younger grant may be missing
+# from the instance's report of the grants that it holds.
+MAX_GRANT_TRANSIT_S = 0.7
+# The overall service rate changes slowly compared with this interval.
+RATE_UPDATE_INTERVAL_S = 0.05
+
+
+# Messages that may lengthen the wait of queued requests or let their deadlines pass.
+_EXPIRY_TRIGGERS = (m.RequestGrant, m.Tick, m.Recovered, m.Configure)
+# Messages after which a target may become available for a queued request. Changes that
+# depend only on time are handled with each tick.
+_GRANT_TRIGGERS = (
+    m.Finished,
+    m.HeldGrants,
+    m.InstanceGone,
+    m.Tick,
+    m.Recovered,
+    m.Configure,
+    m.Withdraw,
+)
+
+
+class SlotDispatcher(PoolDispatcher):
+    """Dispatcher that serves requests by rank, then in order of arrival within a rank.
+
+    A rank whose recent share of granted requests is far below the overall share is
+    served first until it has caught up.
+
+    Within a rank, a request that can no longer be served in time, such as a retry after
+    a refusal, is placed behind those that can. A request is refused as soon as it is
+    expected not to be granted by its deadline.
+
+    Parameters
+    ----------
+    pool_name : str
+        The pool.
+    plan : DispatchPlan
+        The targets of the pool.
+    standalone_instance : str
+        Name of the instance if this is its standby dispatcher, used while the pool's
+        dispatcher is unreachable; empty for the pool's dispatcher.
+    switches : Switches
+        The enabled mechanisms.
+    """
+
+    def __init__(
+        self,
+        pool_name: str,
+        plan: DispatchPlan,
+        standalone_instance: str = "",
+        switches: Switches = ALL_ENABLED,
+        **_options,
+    ) -> None:
+        super().__init__(pool_name)
+        uses_subset = standalone_instance and switches.spread_alone
+        self._target_subset = TargetSubset(standalone_instance) if uses_subset else None
+        self._subset_targets: list[SlotTarget] = []
+        self._subset_updated_at = -math.inf
+        self._standalone_name = standalone_instance
+        self._switches = switches
+        self._queue = SlotQueue()
+        self._refused_requests = RefusedRequests()
+        self._rank_floor = RankFloor(protect_short=switches.short_ranks)
+        self._selector = TargetSelector(switches)
+        self._grant_monitor = GrantMonitor()
+        self._lost_requests = LostRequests()
+        # Slowness by target, learned by other dispatchers. It includes targets that are
+        # not in the plan yet.
+        self._imported_slowness: dict[str, float] = {}
+        self._service_rate = 0.0
+        self._service_rate_updated_at = -math.inf
+        self._partition = VersionPartition(self._selector, bool(standalone_instance))
+        # A dict lookup: a dispatching decorator costs 7 us per message.
+        self._handlers = {
+            m.RequestGrant: self._enqueue,
+            m.Withdraw: self._withdraw,
+            m.FirstToken: self._first_token,
+            m.Finished: self._finished,
+            m.HeldGrants: self._reconcile_held,
+            m.LearnedEstimates: self._import_estimates,
+            m.LoadReport: self._load_report,
+            m.AdoptRunning: self._adopt,
+            m.Recovered: self._recover,
+            m.InstanceGone: self._instance_gone,
+            m.Configure: self._reconfigure,
+            m.Tick: self._tick,
+            m.SuspectPartition: self._ignore,
+        }
+        self._configure(plan, 0.0)
+
+    @property
+    def waiting(self) -> dict[str, int]:
+        """Number of queued requests by tier."""
+        return self._queue.count_by_tier
+
+    @property
+    def learned_estimates(self) -> m.LearnedEstimates | None:
+        """Slowness of the targets and engine estimates; None before any observation."""
+        slowness = {
+            name: t.slowness for name, t in self._targets.items() if t.observations
+        }
+        if not slowness:
+            return None
+        return self._selector.estimates(slowness)
+
+    @property
+    def overdue_slots(self) -> int:
+        """Number of slots held by requests beyond their expected end."""
+        return self._grant_monitor.overdue
+
+    @property
+    def is_standalone(self) -> bool:
+        """Whether this is the standby dispatcher of a single instance."""
+        return self._standalone_name != ""
+
+    @property
+    def rollout(self) -> Rollout | None:
+        """The rollout in progress; None if there is none."""
+        return self._partition.rollout
+
+    def instances_waiting(self) -> set[str]:
+        """Return the instances with queued requests."""
+        return {work.instance for work in self._queue}
+
+    def is_undecided(self, ask: str) -> bool:
+        """Return whether a request is queued."""
+        return ask in self._queue
+
+    def summary(self, now: float) -> dict:
+        """Return a short summary of the queue and of each target's state."""
+        targets = {name: target.summary(now) for name, target in self._targets.items()}
+        shares = self._rank_floor.grant_shares(now)
+        granted = {str(rank): round(shares[rank], 2) for rank in sorted(shares)}
+        return {
+            "waiting": self.waiting,
+            "granted": granted,
+            "overdue": self.overdue_slots,
+            "targets": targets,
+        }
+
+    def _make_decisions(self, message, now: float) -> None:
+        if isinstance(message, m.RequestGrant):
+            self._schedule_new(message.work.ask, now)
+        elif isinstance(message, _GRANT_TRIGGERS):
+            self._schedule(now)
+        if isinstance(message, _EXPIRY_TRIGGERS):
+            self._update_service_rate(now)
+            self._expire(now)
+
+    def _update_state(self, message, now: float) -> None:
+        handler = self._handlers.get(type(message))
+        if handler is None:
+            raise TypeError(f"unknown dispatcher message: {message!r}")
+        handler(message, now)
+
+    def _enqueue(self, message: m.RequestGrant, now: float) -> None:
+        work = message.work
+        if work.ask in self._queue:
+            return
+        self.counts.asked += 1
+        if not self._refused_requests.was_refused(work):
+            self._rank_floor.record_request(
+                work.rank, now, self._selector.service_seconds(work)
+            )
+        if self._switches.late_last:
+            work = self._refused_requests.with_original_due(work, now)
+        # Seconds until the request would be served at an idle target.
+        idle_seconds = self._selector.min_slowness * self._selector.first_token_seconds(
+            work
+        )
+        late = (
+            self._switches.late_last and 0 < work.first_token_due < now + idle_seconds
+        )
+        bound = self._selector.serve_time_bound(work)
+        deadline = wait_deadline(work, bound, late, self._switches)
+        self._queue.add(work, self._selector.service_seconds(work), deadline, late)
+
+    def _withdraw(self, message: m.Withdraw, now: float) -> None:
+        self._remove_request(message.ask, now)
+
+    def _first_token(self, message: m.FirstToken, now: float) -> None:
+        target = self._targets.get(self._target_by_ask.get(message.ask, ""))
+        run = target.mark_first_token(message.ask) if target else None
+        if run is not None:
+            self._selector.record_first_token(target, run, message.seconds)
+            self._partition.update(target, now)
+
+    def _finished(self, message: m.Finished, now: float) -> None:
+        self._grant_monitor.forget(message.ask)
+        self._lost_requests.forget(message.ask)
+        target = self._targets.get(self._target_by_ask.pop(message.ask, ""))
+        run = target.remove(message.ask) if target else None
+        if run is None:
+            return
+        self._partition.record_end(target, run, message, now)
+        match message.outcome:
+            case m.GrantOutcome.DONE:
+                self._selector.record_answer(target, run, message, now)
+            case m.GrantOutcome.FAILED | m.GrantOutcome.BROKEN:
+                target.record_failure(now)
+            case m.GrantOutcome.UNREACHABLE:
+                target.record_unreachable(now)
+            case m.GrantOutcome.REJECTED:
+                target.record_rejection(now)
+            case m.GrantOutcome.LEAVING:
+                target.leaving = True
+        if message.outcome is not m.GrantOutcome.DONE:
+            self._subset_updated_at = -math.inf
+        self._partition.update(target, now)
+
+    def _reconcile_held(self, message: m.HeldGrants, now: float) -> None:
+        self._grant_monitor.confirm_held(message.asks, now)
+        for lost in self._lost_requests.take(message.asks):
+            if lost.target in self._targets:
+                self._start(self._targets[lost.target], lost.work, now)
+        for ask in (
+            self._grant_monitor.asks_of_instance(message.instance) - message.asks
+        ):
+            run = self._targets[self._target_by_ask[ask]].running[ask]
+            if run.granted < now - MAX_GRANT_TRANSIT_S:
+                self._remove_request(ask, now)
+
+    def _import_estimates(self, message: m.LearnedEstimates, now: float) -> None:
+        if not message.is_fallback:
+            self._imported_slowness = {}
+        elif self.learned_estimates:
+            return
+        self._imported_slowness |= message.slowness
+        for target in self._targets.values():
+            self._apply_imported_slowness(target)
+            self._partition.update(target, now)
+        self._selector.import_estimates(message)
+
+    def _apply_imported_slowness(self, target: SlotTarget) -> None:
+        """Set the slowness of a target to the value that another dispatcher learned."""
+        slowness = self._imported_slowness.get(target.name)
+        if slowness is not None:
+            target.slowness = slowness
+            target.observations = max(1, target.observations)
+
+    def _load_report(self, message: m.LoadReport, now: float) -> None:
+        target = self._targets.get(message.target)
+        if target:
+            known = len(target.running)
+            target.external_requests = max(0, message.running + message.waiting - known)
+            target.external_reported_at = now
+
+    def _adopt(self, message: m.AdoptRunning, now: float) -> None:
+        self._remove_request(message.work.ask, now)
+        target = self._targets.get(message.target)
+        if target:
+            self._start(target, message.work, now)
+            target.running[message.work.ask].adopted = True
+
+    def _recover(self, message: m.Recovered, now: float) -> None:
+        self._recovered = True
+
+    def _instance_gone(self, message: m.InstanceGone, now: float) -> None:
+        gone = [work.ask for work in self._queue if work.instance == message.instance]
+        for ask in (*gone, *self._grant_monitor.asks_of_instance(message.instance)):
+            self._remove_request(ask, now)
+
+    def _reconfigure(self, message: m.Configure, now: float) -> None:
+        self._configure(message.configuration, now)
+
+    def _tick(self, message: m.Tick, now: float) -> None:
+        """Advance the rollout, inquire about overdue grants and release lost ones."""
+        if self._recovered and (conclusion := self._partition.tick(self._targets, now)):
+            self._decisions.append(conclusion)
+        if not self._switches.ask_overdue:
+            return
+        result = self._grant_monitor.check(now)
+        self._decisions += [m.QueryGrants(name) for name in sorted(result.instances)]
+        for ask in result.lost:
+            target = self._targets[self._target_by_ask[ask]]
+            lost = m.GrantLost(target.running[ask].work, target.name)
+            self._remove_request(ask, now)
+            self.counts.lost += 1
+            self._lost_requests.add(lost, now)
+            self._decisions.append(lost)
+
+    def _ignore(self, message: m.SuspectPartition, now: float) -> None:
+        """Ignore the message; refusals do not depend on other dispatchers."""
+
+    def _configure(self, plan: DispatchPlan, now: float) -> None:
+        pool = plan.pools.get(self._pool_name, PlannedPool(True))
+        self._selector.configure(pool)
+        self._partition.configure(pool)
+        self._service_rate_updated_at = -math.inf
+        self._subset_updated_at = -math.inf
+        for name, planned in pool.targets.items():
+            target = self._targets.get(name)
+            if target is None:
+                target = SlotTarget(name, planned.slots)
+                target.data_centre = planned.data_centre
+                target.version = planned.version
+                self._targets[name] = target
+                self._apply_imported_slowness(target)
+            target.slots = planned.slots
+            target.leaving |= planned.leaving
+            self._partition.assign(target, now)
+        for name in self._targets.keys() - pool.targets.keys():
+            gone = self._targets.pop(name)
+            self._partition.remove(gone)
+            for ask in gone.running:
+                self._target_by_ask.pop(ask, None)
+                self._grant_monitor.forget(ask)
+
+    def _schedule(self, now: float) -> None:
+        """Grant queued requests in order; some may wait for a better target."""
+        if not self._queue:
+            return
+        while self._has_free_slot(now) and self._try_underserved(now):
+            pass
+        skipped, limit = 0, MAX_EXAMINED
+        while skipped < min(limit, len(self._queue)) and self._has_free_slot(now):
+            work = self._queue[skipped]
+            if not self._try_grant(work, now):
+                skipped += 1
+                if work.suspect or work.avoided_by_backoff:
+                    # A request that may not run on the available targets does not block
+                    # those behind it.
+                    limit = min(MAX_EXAMINED_RESTRICTED, limit + 1)
+
+    def _try_underserved(self, now: float) -> bool:
+        """Grant a request of an underserved rank; return whether one was granted."""
+        if not self._switches.rank_floor:
+            return False
+        first = (
+            self._queue.first_of_rank(rank)
+            for rank in self._rank_floor.underserved(now)
+        )
+        return any(work and self._try_grant(work, now) for work in first)
+
+    def _schedule_new(self, ask: str, now: float) -> None:
+        """Grant a new request if possible; the others were examined before."""
+        work = self._queue.get(ask)
+        if work is not None and self._has_free_slot(now):
+            self._try_grant(work, now)
+
+    def _has_free_slot(self, now: float) -> bool:
+        """Return whether a slot may be free within this dispatcher's share."""
+        limit = math.ceil(self.capacity_share * self._partition.slots(now))
+        return len(self._target_by_ask) < limit and self._partition.has_free_slot(now)
+
+    def _try_grant(self, work: m.Work, now: float) -> bool:
+        """Grant a request if an available target suits it; return whether it was."""
+        if canary := self._partition.choose_canary(work, now):
+            self._grant(work, canary, [canary], now)
+            return True
+        free, worth_waiting = self._candidates(work, now)
+        free = exclude_suspect_targets(work, free, self._targets.values())
+        if work.avoided_by_backoff:
+            free = [
+                target for target in free if target.name not in work.avoided_by_backoff
+            ]
+        if not free:
+            return False
+        target = self._selector.choose(work, free, worth_waiting, now)
+        if target is None or not self._partition.may_serve(work, target, now):
+            return False
+        self._grant(work, target, free, now)
+        return True
+
+    def _candidates(
+        self, work: m.Work, now: float
+    ) -> tuple[list[SlotTarget], list[SlotTarget]]:
+        """Return the available targets for a request, and those worth waiting for."""
+        if self._target_subset is None:
+            index = self._partition.serving
+            return index.candidates(work.data_centre, now), index.fastest(now)
+        if now >= self._subset_updated_at + RATE_UPDATE_INTERVAL_S:
+            self._subset_updated_at = now
+            self._subset_targets = self._target_subset.choose(
+                self._partition.serving.usable(now), self.capacity_share
+            )
+        return [
+            target for target in self._subset_targets if target.available_slots(now) > 0
+        ], self._subset_targets
+
+    def _grant(self, work: m.Work, target: SlotTarget, free, now: float) -> None:
+        self._queue.remove(work.ask)
+        self.counts.granted += 1
+        self._partition.record_grant(target)
+        self._rank_floor.record_grant(work.rank, now)
+        costs = self._selector.candidate_costs(work, free, now)
+        self._start(target, work, now)
+        wait = round(now - work.received_at, 4)
+        self._decisions.append(m.Grant(work, target.name, wait, costs))
+
+    def _start(self, target: SlotTarget, work: m.Work, now: float) -> None:
+        selector = self._selector
+        run = Run(
+            work, now, selector.service_seconds(work), selector.prefill_seconds(work)
+        )
+        run.expected_first_token = target.remaining_prefill(
+            now
+        ) + selector.first_token_seconds(work)
+        target.add(work.ask, run)
+        self._partition.update(target, now)
+        self._target_by_ask[work.ask] = target.name
+        expected_end = now + selector.duration_bound(target, work, now)
+        self._grant_monitor.register(work.ask, work.instance, expected_end)
+
+    def _expire(self, now: float) -> None:
+        """Refuse requests that are past their deadline or expected to miss it.
+
+        Only the last request of each priority class is checked for the expected wait.
+        Each request was the last of its class when it arrived; since then only higher
+        ranks can have delayed it, and the last one is the first to miss its deadline.
+        """
+        for work in self._queue.expired(now):
+            self._refuse(work, self._estimated_wait(work))
+        for priority in self._queue.priority_classes():
+            while work := self._queue.last_of_class(priority):
+                wait = self._estimated_wait(work)
+                if now + wait < self._queue.deadline(work.ask):
+                    break
+                self._refuse(work, wait)
+
+    def _estimated_wait(self, work: m.Work) -> float:
+        """Return the estimated seconds until a queued request is granted."""
+        ahead = self._queue.seconds_ahead(work.ask)
+        wait = ahead / self._service_rate if self._service_rate else MAX_RETRY_AFTER_S
+        min_rate = (
+            self._rank_floor.min_grant_rate(work.rank)
+            if self._switches.rank_floor
+            else 0.0
+        )
+        if min_rate:
+            wait = min(wait, (self._queue.position_in_rank(work.ask) + 1) / min_rate)
+        return wait
+
+    def _update_service_rate(self, now: float) -> None:
+        """Update the pool's service rate and slowness, at most once per interval."""
+        if now >= self._service_rate_updated_at + RATE_UPDATE_INTERVAL_S:
+            self._service_rate_updated_at = now
+            usable = self._partition.serving.usable(now)
+            self._service_rate = sum(t.slots / t.slowness for t in usable)
+            self._selector.min_slowness = min((t.slowness for t in usable), default=1.0)
+            slots = sum(t.slots for t in usable)
+            self._selector.mean_slowness = (
+                slots / self._service_rate if self._service_rate else 1.0
+            )
+
+    def _refuse(self, work: m.Work, wait: float) -> None:
+        self._queue.remove(work.ask)
+        self._refused_requests.record(work)
+        self.counts.refused += 1
+        self._decisions.append(m.Refuse(work, m.RefusalReason.LOAD, retry_after(wait)))
+
+    def _remove_request(self, ask: str, now: float) -> None:
+        self._queue.remove(ask)
+        self._grant_monitor.forget(ask)
+        target = self._targets.get(self._target_by_ask.pop(ask, ""))
+        if target:
+            target.remove(ask)
+            self._partition.update(target, now)
--- a/hibiscusstep/routing/slot_target.py
+++ b/hibiscusstep/routing/slot_target.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.slot_target: one target with slots, learnt from its answers."""
+"""hibiscusstep.routing.slot_target: state and learned speed of a target with slots."""
 
 from dataclasses import dataclass, field
 
@@ -6,32 +6,32 @@
 
 __all__ = ["Run", "SlotTarget"]
 
-# Weight of a new observation, once there are enough.
-LEARN = 0.1
+# Minimum weight of a new observation; the first ones weigh more.
+LEARNING_RATE = 0.1
 MIN_SLOWNESS, MAX_SLOWNESS = 0.1, 12.0
-# What the beginning of one answer may say: it holds a connection's time too.
-MIN_FIRST_GUESS, MAX_FIRST_GUESS = 0.5, 4.0
-FIRST_GUESS_LEARN = 0.5
-# Weight of the work that runs at a target against the request's own; 0.6 measured the
-# same.
+# Bounds of the ratio observed at a first token, which includes the time to connect.
+MIN_FIRST_TOKEN_RATIO, MAX_FIRST_TOKEN_RATIO = 0.5, 4.0
+FIRST_TOKEN_LEARNING_RATE = 0.5
+# Weight of the requests that run at a target relative to the new request; 0.6 gave the
+# same results.
 RUNNING_WEIGHT = 0.3
-# A target that cannot be reached or mostly fails rests, longer each time in a row
-# (seconds, doubled); one that is full is asked again sooner.
-FIRST_REST_S = 0.5
-REJECTED_REST_S = 0.1
-MAX_REST_S = 4.0
-# A target whose share of failures is above this would draw all work, since a failure
-# leaves its slot sooner than an answer: reached by four failures in a row, or by some
-# more of which a few are answers.
-MOSTLY_FAILING = 0.6
-# Weight of a request's end in the share that fail; a target that fails always costs
-# this many times more.
-FAILURE_LEARN = 0.25
-FAILURE_COST = 3.0
-# From this part of its slots on, a target is loaded.
-LOADED_PART = 0.7
-# Seconds for which the load that a target reported counts.
-FOREIGN_LOAD_VALID_S = 1.0
+# Backoff of a target that is unreachable or mostly fails; it doubles with each backoff
+# in a row. A target that rejected a request since it is full is tried again sooner.
+INITIAL_BACKOFF_S = 0.5
+REJECTED_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 4.0
+# A target with a share of failures above this would attract all requests, since a
+# failure frees its slot sooner than an answer. Four failures in a row reach it, or a
+# few more with some answers between.
+MAX_FAILURE_SHARE = 0.6
+# Weight of a new outcome in the share of failures, and the additional cost factor of a
+# target that always fails.
+FAILURE_LEARNING_RATE = 0.25
+FAILURE_COST_FACTOR = 3.0
+# A target counts as loaded if at least this share of its slots is taken.
+LOADED_SHARE = 0.7
+# Validity of the load that a target reported.
+EXTERNAL_LOAD_TTL_S = 1.0
 
 
 @dataclass(slots=True, eq=False)
@@ -43,198 +43,212 @@
     work : Work
         The request.
     granted : float
-        When, on the dispatcher's clock.
-    cost, prefill : float
-        The guessed seconds of it, and of its prompt alone.
-    began : bool
-        Whether its first token came.
-    alone : bool
-        Whether no other prompt was read at the target meanwhile.
-    expected_first : float
-        The guessed seconds to its first token at slowness 1.
-    beside : float
-        The most guessed seconds of prompts that were to be read while it ran.
+        When it was granted, on the dispatcher's clock.
+    service_seconds, prefill_seconds : float
+        Estimated seconds of the request, and of its prefill, at slowness 1.
+    has_first_token : bool
+        Whether its first token has arrived.
+    prefilled_alone : bool
+        Whether no other prefill ran at the target before its first token.
+    expected_first_token : float
+        Estimated seconds to its first token at slowness 1.
+    max_concurrent_prefill : float
+        Maximum estimated seconds of prefill pending at the target while it ran.
     adopted : bool
-        Whether it was granted by another dispatcher, some time before `granted`.
-    loaded : bool
+        Whether another dispatcher granted it, some time before `granted`.
+    target_loaded : bool
         Whether most of the target's slots were taken when it was granted.
     """
 
     work: m.Work
     granted: float
-    cost: float
-    prefill: float
-    began: bool = False
-    alone: bool = True
-    expected_first: float = 1.0
-    beside: float = 0.0
+    service_seconds: float
+    prefill_seconds: float
+    has_first_token: bool = False
+    prefilled_alone: bool = True
+    expected_first_token: float = 1.0
+    max_concurrent_prefill: float = 0.0
     adopted: bool = False
-    loaded: bool = False
+    target_loaded: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class SlotTarget:
-    """One target as the dispatcher knows it.
+    """State of a target as the dispatcher knows it.
 
     Parameters
     ----------
     name : str
         The target.
     slots : int
-        Requests that it works on at once.
+        Number of requests that it serves at the same time.
     leaving : bool
-        Whether it takes no new work.
+        Whether it accepts no new requests.
     slowness : float
-        Seconds that work takes against the first guess, learnt.
-    learnt : int
-        Answers that it was learnt from.
-    failing : float
-        Share of requests that failed lately, learnt.
-    rests : int
-        Times that it rested since its last answer.
-    rest_until : float
-        When it may be tried again after a failure.
-    foreign : int
-        Requests there that this dispatcher did not grant, by the last report.
+        Learned ratio of service times to the initial estimates.
+    observations : int
+        Number of observations of the slowness.
+    failure_share : float
+        Learned share of recent requests that failed.
+    backoffs : int
+        Number of backoffs since the last complete answer.
+    backoff_until : float
+        End of the backoff, on the dispatcher's clock.
+    external_requests : int
+        Requests at the target that this dispatcher did not grant, by the last load
+        report.
+    external_reported_at : float
+        When the last load report arrived, on the dispatcher's clock.
     data_centre : str
         Where it runs.
     version : str
-        Of its software.
+        Version of its software.
     """
 
     name: str
     slots: int
     leaving: bool = False
     slowness: float = 1.0
-    learnt: int = 0
-    failing: float = 0.0
-    rests: int = 0
-    rest_until: float = 0.0
-    foreign: int = 0
-    foreign_at: float = -10.0
+    observations: int = 0
+    failure_share: float = 0.0
+    backoffs: int = 0
+    backoff_until: float = 0.0
+    external_requests: int = 0
+    external_reported_at: float = -10.0
     data_centre: str = ""
     version: str = ""
     running: dict[str, Run] = field(default_factory=dict)
-    _ahead: float = 0.0
-    _prefill_left: float = 0.0
-    _prefill_at: float = -1.0
+    _running_seconds: float = 0.0
+    _remaining_prefill: float = 0.0
+    _remaining_prefill_at: float = -1.0
 
     def add(self, ask: str, run: Run) -> None:
-        """Take note of a request that was granted."""
-        reading = [other for other in self.running.values() if not other.began]
-        for other in reading:
-            other.alone = False
-        to_read = self.prefill_left(run.granted) + run.prefill
+        """Add a granted request."""
+        prefilling = [
+            other for other in self.running.values() if not other.has_first_token
+        ]
+        for other in prefilling:
+            other.prefilled_alone = False
+        pending_prefill = self.remaining_prefill(run.granted) + run.prefill_seconds
         for other in self.running.values():
-            other.beside = max(other.beside, to_read)
-        run.alone = not reading
+            other.max_concurrent_prefill = max(
+                other.max_concurrent_prefill, pending_prefill
+            )
+        run.prefilled_alone = not prefilling
         self.running[ask] = run
-        run.loaded = len(self.running) >= LOADED_PART * self.slots
-        self._changed()
+        run.target_loaded = len(self.running) >= LOADED_SHARE * self.slots
+        self._invalidate()
 
     def remove(self, ask: str) -> Run | None:
-        """Take note of a request's end; None if it was not here."""
+        """Remove and return a request; None if it does not run here."""
         run = self.running.pop(ask, None)
-        self._changed()
+        self._invalidate()
         return run
 
-    def begin(self, ask: str) -> Run | None:
-        """Take note that a request's prompt has been read; None if it is not here."""
+    def mark_first_token(self, ask: str) -> Run | None:
+        """Mark a request's prefill as done; None if it does not run here."""
         run = self.running.get(ask)
         if run:
-            run.began = True
-            self._changed()
+            run.has_first_token = True
+            self._invalidate()
         return run
 
-    def _changed(self) -> None:
-        self._ahead = sum(run.cost for run in self.running.values())
-        self._prefill_at = -1.0
+    def _invalidate(self) -> None:
+        self._running_seconds = sum(
+            run.service_seconds for run in self.running.values()
+        )
+        self._remaining_prefill_at = -1.0
 
     def usable(self, now: float) -> bool:
-        """Whether new work may go there."""
-        return not self.leaving and now >= self.rest_until
+        """Return whether the target may be granted new requests."""
+        return not self.leaving and now >= self.backoff_until
 
     @property
-    def room(self) -> int:
-        """Slots that the requests granted to it leave."""
-        # One that mostly failed is tried with one request at a time.
-        return (1 if self._fails else self.slots) - len(self.running)
-
-    def free(self, now: float) -> int:
-        """Return how many more requests it can work on."""
-        foreign = self.foreign if now - self.foreign_at < FOREIGN_LOAD_VALID_S else 0
-        return self.room - foreign
-
-    def prefill_left(self, now: float) -> float:
-        """Return the guessed seconds of prompts that it has still to read.
-
-        Reckoned once a moment: a dispatcher weighs many requests for a target at once.
+    def unassigned_slots(self) -> int:
+        """Number of slots that are not taken by granted requests."""
+        # A target that mostly failed is tried with one request at a time.
+        return (1 if self._is_failing else self.slots) - len(self.running)
+
+    def available_slots(self, now: float) -> int:
+        """Return the number of further requests that the target can serve."""
+        external = (
+            self.external_requests
+            if now - self.external_reported_at < EXTERNAL_LOAD_TTL_S
+            else 0
+        )
+        return self.unassigned_slots - external
+
+    def remaining_prefill(self, now: float) -> float:
+        """Return the estimated seconds of pending prefill at slowness 1.
+
+        The value is cached for the current time, since a dispatcher evaluates many
+        requests for a target at once.
         """
-        if now != self._prefill_at:
-            self._prefill_at = now
-            self._prefill_left = sum(
-                max(0.0, run.prefill - (now - run.granted) / self.slowness)
+        if now != self._remaining_prefill_at:
+            self._remaining_prefill_at = now
+            self._remaining_prefill = sum(
+                max(0.0, run.prefill_seconds - (now - run.granted) / self.slowness)
                 for run in self.running.values()
-                if not run.began
+                if not run.has_first_token
             )
-        return self._prefill_left
+        return self._remaining_prefill
 
     def cost(self, own: float) -> float:
-        """Return the weighed seconds for a request of `own` guessed seconds."""
-        spent = self.slowness * (own + RUNNING_WEIGHT * self._ahead)
-        return spent * (1 + FAILURE_COST * self.failing)
-
-    def succeeded(self) -> None:
-        """Take note of a whole answer."""
-        self.rests = 0
-        self.failing *= 1 - FAILURE_LEARN
-
-    def guess(self, ratio: float) -> None:
-        """Take an answer's beginning for the speed until an answer is whole."""
-        ratio = min(MAX_FIRST_GUESS, max(MIN_FIRST_GUESS, ratio))
-        self.slowness += FIRST_GUESS_LEARN * (ratio - self.slowness)
-
-    def learn(self, ratio: float) -> None:
-        """Learn from seconds that work took against the guess."""
+        """Return the weighted seconds of a request of `own` estimated seconds."""
+        spent = self.slowness * (own + RUNNING_WEIGHT * self._running_seconds)
+        return spent * (1 + FAILURE_COST_FACTOR * self.failure_share)
+
+    def record_success(self) -> None:
+        """Record a complete answer."""
+        self.backoffs = 0
+        self.failure_share *= 1 - FAILURE_LEARNING_RATE
+
+    def observe_first_token(self, ratio: float) -> None:
+        """Update the slowness by a first token, for use until an answer is complete."""
+        ratio = min(MAX_FIRST_TOKEN_RATIO, max(MIN_FIRST_TOKEN_RATIO, ratio))
+        self.slowness += FIRST_TOKEN_LEARNING_RATE * (ratio - self.slowness)
+
+    def observe(self, ratio: float) -> None:
+        """Update the slowness by a ratio of observed to estimated seconds."""
         ratio = min(MAX_SLOWNESS, max(MIN_SLOWNESS, ratio))
-        self.learnt += 1
-        weight = max(LEARN, 1 / (1 + self.learnt))
+        self.observations += 1
+        weight = max(LEARNING_RATE, 1 / (1 + self.observations))
         self.slowness += weight * (ratio - self.slowness)
 
-    def failed(self, now: float) -> None:
-        """Take note of a failure; a target that mostly fails rests."""
-        self.failing += FAILURE_LEARN * (1 - self.failing)
-        if self._fails:
-            self._rest(now, FIRST_REST_S)
+    def record_failure(self, now: float) -> None:
+        """Record a failure; a target that mostly fails backs off."""
+        self.failure_share += FAILURE_LEARNING_RATE * (1 - self.failure_share)
+        if self._is_failing:
+            self._back_off(now, INITIAL_BACKOFF_S)
 
-    def unreachable(self, now: float) -> None:
-        """Take note that the target could not be reached; it rests."""
-        self.failing += FAILURE_LEARN * (1 - self.failing)
-        self._rest(now, FIRST_REST_S)
+    def record_unreachable(self, now: float) -> None:
+        """Record that the target was unreachable and back off."""
+        self.failure_share += FAILURE_LEARNING_RATE * (1 - self.failure_share)
+        self._back_off(now, INITIAL_BACKOFF_S)
 
-    def rejected(self, now: float) -> None:
-        """Take note that the target did not take a request; it rests shortly."""
-        self._rest(now, REJECTED_REST_S)
+    def record_rejection(self, now: float) -> None:
+        """Record that the target rejected a request and back off for a short time."""
+        self._back_off(now, REJECTED_BACKOFF_S)
 
     @property
-    def _fails(self) -> bool:
-        return self.failing >= MOSTLY_FAILING
+    def _is_failing(self) -> bool:
+        return self.failure_share >= MAX_FAILURE_SHARE
 
-    def _rest(self, now: float, first: float) -> None:
+    def _back_off(self, now: float, initial: float) -> None:
         if self.usable(now):
-            rest = first * 2 ** min(8, self.rests)
-            self.rests += 1
-            self.rest_until = now + min(MAX_REST_S, rest)
+            backoff = initial * 2 ** min(8, self.backoffs)
+            self.backoffs += 1
+            self.backoff_until = now + min(MAX_BACKOFF_S, backoff)
 
     def summary(self, now: float) -> str:
-        """Return the state in a few words, for the log."""
-        marks = [
+        """Return the state as a short text for the log."""
+        parts = [
             f"{len(self.running)}/{self.slots}",
             f"x{self.slowness:.2f}",
-            f"f{self.failing:.2f}",
+            f"f{self.failure_share:.2f}",
         ]
         if self.leaving:
-            marks.append("leaving")
-        if now < self.rest_until:
-            marks.append("resting")
-        return " ".join(marks)
+            parts.append("leaving")
+        if now < self.backoff_until:
+            parts.append("resting")
+        return " ".join(parts)
--- /dev/null
+++ b/hibiscusstep/routing/version_partition.py
@@ -0,0 +1,221 @@
+"""hibiscusstep.routing.version_partition: which versions of a pool's targets serve."""
+
+import enum
+
+from hibiscusstep.rollout.comparison import AnswerSample
+from hibiscusstep.rollout.controller import Rollout
+from hibiscusstep.routing import messages as m
+from hibiscusstep.routing.dispatch_plan import PlannedPool
+from hibiscusstep.routing.slot_target import Run, SlotTarget
+from hibiscusstep.routing.target_index import TargetIndex
+from hibiscusstep.routing.target_selector import TargetSelector
+
+__all__ = ["VersionPartition"]
+
+
+class _Role(enum.Enum):
+    SERVING = "its version is a current one"
+    CANARY = "its version is being rolled out"
+    BARRED = "its version is neither current nor being rolled out"
+
+
+# Outcomes that count in the comparison of versions; others do not depend on the
+# version.
+_COMPARED_OUTCOMES = (
+    m.GrantOutcome.DONE,
+    m.GrantOutcome.FAILED,
+    m.GrantOutcome.BROKEN,
+    m.GrantOutcome.CANCELLED,
+)
+
+
+class VersionPartition:
+    """Partition of the targets by version, which carries out the pool's rollout.
+
+    Parameters
+    ----------
+    selector : TargetSelector
+        Selects targets for requests.
+    is_standalone : bool
+        Whether this is for the standby dispatcher of a single instance. It sends no
+        requests to a version that is not current, since the exposure budget of the
+        rollout would not count them.
+
+    Attributes
+    ----------
+    serving : TargetIndex
+        Targets of the current versions.
+    rollout : Rollout or None
+        The rollout in progress.
+    """
+
+    def __init__(self, selector: TargetSelector, is_standalone: bool) -> None:
+        self._selector = selector
+        self._is_standalone = is_standalone
+        self._canaries = TargetIndex()
+        self._roles: dict[str, _Role] = {}
+        # Index of each target that is not barred.
+        self._index_by_target: dict[str, TargetIndex] = {}
+        self._serving_versions: frozenset[str] = frozenset()
+        self._reported = False
+        self.serving = TargetIndex()
+        self.rollout: Rollout | None = None
+
+    @property
+    def _canary_names(self) -> list[str]:
+        """Names of the targets of the new version."""
+        return [name for name, role in self._roles.items() if role is _Role.CANARY]
+
+    def slots(self, now: float) -> int:
+        """Return the number of slots of all usable targets."""
+        slots = self.serving.slots(now)
+        return slots if self.rollout is None else slots + self._canaries.slots(now)
+
+    def configure(self, pool: PlannedPool) -> None:
+        """Apply the current versions and the rollout, before targets are assigned."""
+        self._serving_versions = pool.serving
+        planned = None if self._is_standalone else pool.rollout
+        if planned is None:
+            self.rollout = None
+        elif self.rollout and self.rollout.planned.number == planned.number:
+            self.rollout.update_order(planned)
+        else:
+            self.rollout = Rollout(planned)
+            self._reported = False
+
+    def assign(self, target: SlotTarget, now: float) -> None:
+        """Assign a target to the index of its version and update it there."""
+        role = self._role_of(target)
+        if role is self._roles.get(target.name):
+            self.update(target, now)
+            return
+        self.remove(target)
+        self._roles[target.name] = role
+        if role is not _Role.BARRED:
+            index = self._canaries if role is _Role.CANARY else self.serving
+            self._index_by_target[target.name] = index
+            index.add(target, now)
+
+    def update(self, target: SlotTarget, now: float) -> None:
+        """Update a target after its slots, speed, failures or state changed."""
+        index = self._index_by_target.get(target.name)
+        if index is not None:
+            index.update(target, now)
+
+    def remove(self, target: SlotTarget) -> None:
+        """Remove a target."""
+        self._roles.pop(target.name, None)
+        index = self._index_by_target.pop(target.name, None)
+        if index is not None:
+            index.remove(target)
+
+    def _role_of(self, target: SlotTarget) -> _Role:
+        if not self._serving_versions or target.version in self._serving_versions:
+            return _Role.SERVING
+        if self.rollout and target.version == self.rollout.planned.version:
+            return _Role.CANARY
+        return _Role.BARRED
+
+    def has_free_slot(self, now: float) -> bool:
+        """Return whether a usable target seems to have a free slot."""
+        if self.serving.has_free_slot(now):
+            return True
+        if self.rollout is None or not self.rollout.may_expose():
+            return False
+        return self._canaries.has_free_slot(now)
+
+    def choose_canary(self, work: m.Work, now: float) -> SlotTarget | None:
+        """Return a target of the new version for a request.
+
+        None if the new version may not receive it or has no suitable target free.
+        """
+        if self.rollout is None or work.suspect:
+            return None
+        if not self.rollout.may_expose() or not self._canaries.has_free_slot(now):
+            return None
+        if self.rollout.sends_all_traffic:
+            free = self._canaries.candidates(work.data_centre, now)
+            worth_waiting = self._canaries.fastest(now)
+        else:
+            free = self._next_canary(now)
+            worth_waiting = []
+        excluded = {*work.avoided_by_backoff, *work.avoid}
+        free = [target for target in free if target.name not in excluded]
+        if not free:
+            return None
+        return self._selector.choose(work, free, worth_waiting, now)
+
+    def _next_canary(self, now: float) -> list[SlotTarget]:
+        """Return at most one target: the preferred canary target with a free slot."""
+        free = {
+            t.name: t for t in self._canaries.usable(now) if t.available_slots(now) > 0
+        }
+        canaries = self.rollout.canary_targets(self._canary_names, now)
+        return [free[name] for name in canaries if name in free][:1]
+
+    def may_serve(self, work: m.Work, target: SlotTarget, now: float) -> bool:
+        """Return whether a request would end before its target is stopped."""
+        if self.rollout is None or not self.rollout.sends_all_traffic:
+            return True
+        planned = self.rollout.planned
+        ends = now + self._selector.duration_bound(target, work, now)
+        return ends < planned.deadline - planned.lead_s
+
+    def record_grant(self, target: SlotTarget) -> None:
+        """Count a granted request for the rollout."""
+        if self.rollout:
+            self.rollout.count_request(self._roles.get(target.name) is _Role.CANARY)
+
+    def record_end(
+        self, target: SlotTarget, run: Run, finished: m.Finished, now: float
+    ) -> None:
+        """Add a request's outcome to the comparison of versions."""
+        outcome = finished.outcome
+        if not self.rollout or outcome not in _COMPARED_OUTCOMES:
+            return
+        if run.work.suspect or run.adopted:
+            return
+        answer = AnswerSample(
+            target.name,
+            run.work.route,
+            outcome is m.GrantOutcome.FAILED,
+            outcome is m.GrantOutcome.BROKEN,
+            self._selector.time_ratio(run, finished.tokens, now),
+            outcome is m.GrantOutcome.CANCELLED,
+            run.target_loaded,
+        )
+        new = self._roles.get(target.name) is _Role.CANARY
+        self.rollout.comparison.observe(answer, new=new, now=now)
+
+    def _running_canaries(self, targets: dict[str, SlotTarget], now: float):
+        """Yield the running requests at targets of the new version."""
+        for name in self._canary_names:
+            for run in targets[name].running.values():
+                if not (run.work.suspect or run.adopted):
+                    ratio = self._selector.running_time_ratio(run, now)
+                    yield AnswerSample(
+                        name,
+                        run.work.route,
+                        failed=False,
+                        ratio=ratio,
+                        cut_short=True,
+                        loaded=run.target_loaded,
+                    )
+
+    def tick(
+        self, targets: dict[str, SlotTarget], now: float
+    ) -> m.ConcludeRollout | None:
+        """Advance the rollout; return its conclusion once there is one."""
+        if self.rollout is None:
+            return None
+        running = self._running_canaries(targets, now)
+        self.rollout.comparison.replace_running(running, now)
+        usable = len(self._canaries.usable(now))
+        self.rollout.tick(usable, now)
+        if self.rollout.verdict is None or self._reported:
+            return None
+        self._reported = True
+        planned = self.rollout.planned
+        return m.ConcludeRollout(
+            planned.version, planned.number, self.rollout.verdict, self.rollout.reason
+        )
--- a/hibiscusstep/stores/memory.py
+++ b/hibiscusstep/stores/memory.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.stores.memory: the object service in memory, with faults."""
+"""hibiscusstep.stores.memory: in-memory object service with fault injection."""
 
 import asyncio
 from collections import Counter
@@ -13,25 +13,25 @@
     PlatformNotFound,
     PlatformUnavailable,
 )
-from hibiscusstep.store import InstanceRecord, Platform, Versioned
+from hibiscusstep.store import InstanceRecord, Platform, VersionedObject
 
-__all__ = ["Faults", "MAX_VALUE_BYTES", "MemoryPlatform"]
+__all__ = ["MAX_VALUE_BYTES", "InjectedFaults", "MemoryPlatform"]
 
 MAX_VALUE_BYTES = 1 << 20
 
 
 @dataclass
-class Faults:
-    """What goes wrong, set by tests and by the stand-in's control calls.
+class InjectedFaults:
+    """Injected faults, set by tests and by the stand-in's control calls.
 
     Parameters
     ----------
     down : bool
-        No call takes effect or gets an answer.
+        Whether calls fail without taking effect.
     delay : float
         Seconds added before each call takes effect.
     lose_answers : int
-        So many of the next writes take effect while their answer is lost.
+        Number of the next writes that take effect while their answer is lost.
     """
 
     down: bool = False
@@ -40,63 +40,63 @@
 
 
 class MemoryPlatform(Platform):
-    """Objects in a dictionary; serves tests and the stand-in process.
+    """Object service in a dictionary, for tests and the stand-in process.
 
     Parameters
     ----------
     url : str
-        Unused; the dialects share one signature.
+        Unused; all dialects have the same signature.
 
     Attributes
     ----------
-    faults : Faults
-        What goes wrong from now on.
+    faults : InjectedFaults
+        Injected faults.
     calls : collections.Counter
-        Calls by kind.
+        Number of calls by kind.
     observer : callable of (str, str) or None
-        Told kind and key of each call before it takes effect.
+        Called with kind and key of each call before it takes effect.
     """
 
     name = "memory"
 
     def __init__(self, url: str = "") -> None:
-        self.faults = Faults()
+        self.faults = InjectedFaults()
         self.calls: Counter = Counter()
-        self.records: list[InstanceRecord] = []
+        self.instance_records: list[InstanceRecord] = []
         self.observer: Callable[[str, str], None] | None = None
-        self._objects: dict[str, Versioned] = {}
+        self._objects: dict[str, VersionedObject] = {}
         self._last_version = 0
-        self._changed = asyncio.Condition()
+        self._object_changed = asyncio.Condition()
 
-    async def get(self, key: str) -> Result[Versioned, PlatformError]:
+    async def get(self, key: str) -> Result[VersionedObject, PlatformError]:
         """Return the object."""
         return await self._call("get", key, lambda: self._read(key))
 
     async def put(
         self, key: str, value: bytes, expected: int
     ) -> Result[int, PlatformError]:
-        """Write if the version is `expected` (0: if it does not exist)."""
+        """Write the object if its version is `expected` (0: if it does not exist)."""
         answer = await self._call("put", key, lambda: self._write(key, value, expected))
         if answer.is_ok():
-            async with self._changed:
-                self._changed.notify_all()
-        return self._maybe_lost(answer, "put")
+            async with self._object_changed:
+                self._object_changed.notify_all()
+        return self._lose_answer_if_set(answer, "put")
 
     async def delete(self, key: str) -> Result[None, PlatformError]:
         """Delete the object."""
         answer = await self._call("delete", key, lambda: self._remove(key))
-        return self._maybe_lost(answer, "delete")
+        return self._lose_answer_if_set(answer, "delete")
 
     async def watch(
         self, key: str, after: int, timeout: float
-    ) -> Result[Versioned | None, PlatformError]:
-        """Wait until the version is above `after`."""
-        begun = await self._call("watch", key, lambda: Ok(None))
-        if begun.is_err():
-            return begun
+    ) -> Result[VersionedObject | None, PlatformError]:
+        """Return the object once its version is above `after`; None after `timeout`."""
+        accepted = await self._call("watch", key, lambda: Ok(None))
+        if accepted.is_err():
+            return accepted
         try:
-            async with asyncio.timeout(timeout), self._changed:
-                await self._changed.wait_for(
+            async with asyncio.timeout(timeout), self._object_changed:
+                await self._object_changed.wait_for(
                     lambda: key in self._objects and self._objects[key].version > after
                 )
         except TimeoutError:
@@ -105,18 +105,20 @@
 
     async def instances(self) -> Result[list[InstanceRecord], PlatformError]:
         """Return the list of instances."""
-        return await self._call("instances", "", lambda: Ok(list(self.records)))
+        return await self._call(
+            "instances", "", lambda: Ok(list(self.instance_records))
+        )
 
-    async def _call(self, step, key, effect):
+    async def _call(self, step, key, operation):
         self.calls[step] += 1
         if self.observer:
             self.observer(step, key)
         await asyncio.sleep(self.faults.delay)
         if self.faults.down:
             return Err(PlatformUnavailable("outage", step=step, peer="platform"))
-        return effect()
+        return operation()
 
-    def _maybe_lost(self, answer, step):
+    def _lose_answer_if_set(self, answer, step):
         if answer.is_ok() and self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
             return Err(PlatformUnavailable("answer lost", step=step, peer="platform"))
@@ -135,7 +137,7 @@
             detail = f"{key} is at version {current}, not {expected}"
             return Err(PlatformConflict(detail, step="put", peer="platform"))
         self._last_version += 1
-        self._objects[key] = Versioned(key, self._last_version, value)
+        self._objects[key] = VersionedObject(key, self._last_version, value)
         return Ok(self._last_version)
 
     def _remove(self, key: str):
--- a/tests/test_dispatching.py
+++ b/tests/test_dispatcher_host.py
@@ -1,14 +1,14 @@
-"""hibiscusstep.dispatching: dispatchers and the views that they act by."""
+"""hibiscusstep.dispatcher_host: hosted dispatchers, views and keepalives."""
 
 import asyncio
 
 import pytest
 
-from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.dispatching import SIGNS_PER_S, Dispatching
+from hibiscusstep.configuration.in_force import ConfigurationInForce
+from hibiscusstep.dispatcher_host import KEEPALIVES_PER_S, DispatcherHost
 from hibiscusstep.mailbox import Tick
+from hibiscusstep.membership.mesh import ViewChanged
 from hibiscusstep.membership.view import Member, View
-from hibiscusstep.membership.worker import ViewChanged
 from hibiscusstep.peer import (
     NotDispatcher,
     PoolAsk,
@@ -19,8 +19,8 @@
     Received,
     WorkInfo,
 )
-from hibiscusstep.routing.plan import Plan, PlannedPool, PlannedTarget
-from hibiscusstep.routing.slots import SlotDispatcher
+from hibiscusstep.routing.dispatch_plan import DispatchPlan, PlannedPool, PlannedTarget
+from hibiscusstep.routing.slot_dispatcher import SlotDispatcher
 
 POOL = "p"
 
@@ -34,7 +34,7 @@
 
 
 def _view(**incarnations):
-    """Return a view in which `d` dispatches: the others are not ready."""
+    """Return a view in which only `d` is ready, so that it dispatches."""
     members = {
         name: Member(
             name,
@@ -53,81 +53,87 @@
 
 
 @pytest.fixture
-async def dispatching():
+async def dispatcher_host():
     links = _Links()
-    worker = Dispatching(
+    worker = DispatcherHost(
         "d", "d:1", links, lambda _message: None, None,
-        kind=SlotDispatcher, reads_reports=False,
+        dispatcher_class=SlotDispatcher, polls_load=False,
     )  # fmt: skip
     await worker.handle(_view(d="d-1", e="e-1"))
-    await worker.handle(InForce(1, b"", Plan({POOL: PlannedPool(True)})))
+    await worker.handle(
+        ConfigurationInForce(1, b"", DispatchPlan({POOL: PlannedPool(True)}))
+    )
     register = PoolRegister(POOL, "e", "e-1", [], [], [])
     await worker.handle(Received("e:1", register))
     links.sent.clear()
     return worker, links
 
 
-class TestAnInstanceTakenForDead:
-    """Its requests are dropped; if it lives, it does not know of that."""
+class TestInstanceConsideredDead:
+    """Its requests were dropped; if it is still live, it does not know."""
 
-    async def test_is_asked_to_register_again_when_it_is_heard_again(self, dispatching):
-        worker, links = dispatching
+    async def test_is_asked_to_register_when_it_returns(self, dispatcher_host):
+        worker, links = dispatcher_host
         await worker.handle(_view(d="d-1"))
         await worker.handle(_view(d="d-1", e="e-1"))
         assert links.sent == [("e:1", NotDispatcher(POOL))]
 
-    async def test_registers_by_itself_after_a_restart(self, dispatching):
-        worker, links = dispatching
+    async def test_is_not_asked_after_a_restart(self, dispatcher_host):
+        worker, links = dispatcher_host
         await worker.handle(_view(d="d-1"))
         await worker.handle(_view(d="d-1", e="e-2"))
         assert links.sent == []
 
-    async def test_one_that_was_never_gone_is_left_alone(self, dispatching):
-        worker, links = dispatching
+    async def test_live_instances_are_not_asked(self, dispatcher_host):
+        worker, links = dispatcher_host
         await worker.handle(_view(d="d-1", e="e-1", f="f-1"))
         assert links.sent == []
 
 
 class TestOverdueRequests:
-    """An instance that lost its power says nothing, and holds slots."""
+    """Requests of an instance that lost power keep their slots without an end."""
 
-    async def test_their_instance_is_asked_and_the_gauge_shows_them(self, dispatching):
-        worker, links = dispatching
+    async def test_their_instance_is_inquired_and_the_gauge_counts_them(
+        self, dispatcher_host
+    ):
+        worker, links = dispatcher_host
         targets = {"t": PlannedTarget(1)}
         await worker.handle(
-            InForce(2, b"", Plan({POOL: PlannedPool(False, targets=targets)}))
+            ConfigurationInForce(
+                2, b"", DispatchPlan({POOL: PlannedPool(False, targets=targets)})
+            )
         )
         register = PoolRegister(POOL, "d", "d-1", [], [], [])
         await worker.handle(Received("d:1", register))
         work = WorkInfo("a", "r", "e", "c", "0", 0, 0, 1, 9.0, 0.0, False, [], [])
         await worker.handle(Received("e:1", PoolAsk(POOL, work)))
         assert [type(message) for _address, message in links.sent] == [PoolGrant]
-        assert worker.overdue == {POOL: 0}
+        assert worker.overdue_slots == {POOL: 0}
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        start = loop.time()
         try:
             for tick in range(1, 14):
-                loop.time = lambda tick=tick: began + 0.05 * tick
+                loop.time = lambda tick=tick: start + 0.05 * tick
                 await worker.handle(Tick())
         finally:
             del loop.time
         assert links.sent[1:] == [("e:1", PoolInquire(POOL))]
-        assert worker.overdue == {POOL: 1}
+        assert worker.overdue_slots == {POOL: 1}
 
 
-class TestSignsOfLife:
-    """Who waits is told so again and again; in overload that is every instance."""
+class TestKeepalives:
+    """Sent to each instance with waiting requests; in overload these are all."""
 
-    async def _signs_in_a_second(self, instances):
-        """Return the signs sent in the second second, with one waiting each."""
+    async def _keepalives_in_a_second(self, instances):
+        """Return the keepalives of the second second, with one request per instance."""
         links = _Links()
-        worker = Dispatching(
+        worker = DispatcherHost(
             "d", "d:1", links, lambda _message: None, None,
-            kind=SlotDispatcher, reads_reports=False, serves_itself=True,
+            dispatcher_class=SlotDispatcher, polls_load=False, has_standby=True,
         )  # fmt: skip
         await worker.handle(_view(d="d-1"))
-        plan = Plan({POOL: PlannedPool(False, targets={"t": PlannedTarget(0)})})
-        await worker.handle(InForce(1, b"", plan))
+        plan = DispatchPlan({POOL: PlannedPool(False, targets={"t": PlannedTarget(0)})})
+        await worker.handle(ConfigurationInForce(1, b"", plan))
         register = PoolRegister(POOL, "d", "d-1", [], [], [])
         await worker.handle(Received("d:1", register))
         for n in range(instances):
@@ -136,24 +142,26 @@
             )
             await worker.handle(Received(f"e{n}:1", PoolAsk(POOL, work)))
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        start = loop.time()
         try:
             for tick in range(41):
                 if tick == 21:
                     links.sent.clear()
-                loop.time = lambda tick=tick: began + 0.05 * tick
+                loop.time = lambda tick=tick: start + 0.05 * tick
                 await worker.handle(Tick())
         finally:
             del loop.time
         return [m for _address, m in links.sent if isinstance(m, PoolQueued)]
 
-    async def test_few_are_told_at_each_tick(self):
-        signs = await self._signs_in_a_second(10)
-        assert len(signs) == 200
-        assert {sign.again_in for sign in signs} == {0.05}
+    async def test_few_instances_get_one_at_each_tick(self):
+        keepalives = await self._keepalives_in_a_second(10)
+        assert len(keepalives) == 200
+        assert {keepalive.again_in for keepalive in keepalives} == {0.05}
 
     @pytest.mark.parametrize("instances", [100, 300, 1000])
-    async def test_however_many_wait_the_signs_are_bounded(self, instances):
-        signs = await self._signs_in_a_second(instances)
-        assert instances <= len(signs) <= 1.1 * SIGNS_PER_S
-        assert {sign.again_in for sign in signs} == {instances / SIGNS_PER_S}
+    async def test_their_rate_is_bounded_for_many_instances(self, instances):
+        keepalives = await self._keepalives_in_a_second(instances)
+        assert instances <= len(keepalives) <= 1.1 * KEEPALIVES_PER_S
+        assert {keepalive.again_in for keepalive in keepalives} == {
+            instances / KEEPALIVES_PER_S
+        }
--- a/tests/test_mechanisms_off.py
+++ b/tests/test_mechanisms_off.py
@@ -1,7 +1,7 @@
-"""With a mechanism switched off, the checker finds its promise broken.
+"""With a mechanism disabled, the checker reports that its promise is broken.
 
-With it on, the same situations are in the tests of each promise and find nothing. For
-claims and the tier guard see test_at_most_once.py and test_tiers.py.
+The tests of each promise run the same situations with the mechanism enabled and report
+nothing. For claims and the tier guard see test_at_most_once.py and test_tiers.py.
 """
 
 import asyncio
@@ -12,25 +12,25 @@
 import pytest
 from cluster import Cluster, configuration, until
 
-from hibiscusstep.caller import CallerBorder
-from hibiscusstep.configuration.in_force import InForce
-from hibiscusstep.configuration.keeper import ConfigurationKeeper, _Seen
-from hibiscusstep.configuration.stored import Stored
+from hibiscusstep.caller_server import CallerServer
+from hibiscusstep.configuration.in_force import ConfigurationInForce
+from hibiscusstep.configuration.stored import StoredConfiguration
+from hibiscusstep.configuration.updater import ConfigurationUpdater, _Seen
 from hibiscusstep.events import EventKind
 from hibiscusstep.load.drive import Result, State, _judge
 from hibiscusstep.load.mix import Arrival, RequestClass
 from hibiscusstep.progress import Progress
-from hibiscusstep.routing.estimate import TargetState
+from hibiscusstep.routing.target_estimate import TargetEstimate
 from hibiscusstep.targets.engine import StreamedAnswer
 
 
 def promises(cluster):
-    return {finding.promise for finding in cluster.findings()}
+    return {finding.guarantee for finding in cluster.findings()}
 
 
 class TestOff:
     async def test_marks_of_leaving_targets(self, tmp_path, monkeypatch):
-        monkeypatch.setattr(TargetState, "usable", lambda self, now: True)
+        monkeypatch.setattr(TargetEstimate, "usable", lambda self, now: True)
         async with Cluster(tmp_path) as cluster:
             cluster.mark(EventKind.TARGET_LEAVING, target="service-0")
             files = configuration(cluster.targets)
@@ -44,7 +44,7 @@
         async def at_once(_border):
             return None
 
-        monkeypatch.setattr(CallerBorder, "wait_idle", at_once)
+        monkeypatch.setattr(CallerServer, "wait_idle", at_once)
         async with Cluster(tmp_path, duration=2.0) as cluster:
             call = asyncio.create_task(cluster.call("e1", "/read"))
             await until(lambda: cluster.events(EventKind.SERVED))
@@ -53,8 +53,10 @@
             assert "graceful shutdown" in promises(cluster)
 
     async def test_versions_that_only_go_up(self, tmp_path, monkeypatch):
-        def take_any(keeper, version, value):
-            loaded = InForce(version, value, Stored.parse(value).load())
+        def accept_any_version(keeper, version, value):
+            loaded = ConfigurationInForce(
+                version, value, StoredConfiguration.parse(value).load()
+            )
             keeper._in_force = loaded
             keeper._publish(loaded)
 
@@ -64,8 +66,12 @@
             await until(
                 lambda: all(e.in_force.version == newer for e in cluster._live())
             )
-            monkeypatch.setattr(ConfigurationKeeper, "_take", take_any)
-            cluster.entries["e0"]._keeper.tell(_Seen(old.version, old.value))
+            monkeypatch.setattr(
+                ConfigurationUpdater, "_apply_version", accept_any_version
+            )
+            cluster.entries["e0"]._configuration_updater.tell(
+                _Seen(old.version, old.value)
+            )
             await until(lambda: "configuration" in promises(cluster))
 
     async def test_looking_a_key_up_before_the_queue(self, tmp_path):
@@ -99,15 +105,13 @@
 
     @pytest.mark.parametrize("off", [False, True])
     async def test_the_end_mark(self, tmp_path, monkeypatch, off):
-        async def take_the_end_of_the_connection_for_the_end(answer):
+        async def treat_connection_close_as_end(answer):
             with contextlib.suppress(aiohttp.ClientError):
                 async for chunk in answer._response.content.iter_any():
                     yield chunk
 
         if off:
-            monkeypatch.setattr(
-                StreamedAnswer, "chunks", take_the_end_of_the_connection_for_the_end
-            )
+            monkeypatch.setattr(StreamedAnswer, "chunks", treat_connection_close_as_end)
         spec = RequestClass(share=1, customers=["c"], model="m")
         arrival = Arrival(0, 0.0, "kind", "c", spec, "why?", 12, False, "")
         async with Cluster(tmp_path, services=0, engines=2) as cluster:
