--- a/hibiscusstep/claims/client.py
+++ b/hibiscusstep/claims/client.py
@@ -58,7 +58,7 @@
 
     Parameters
     ----------
-    question : Call
+    call : Call
         The claim request to answer.
     shard : int
         Shard of the key.
@@ -70,7 +70,7 @@
         Instance that the message was sent to; None if the message may be lost.
     """
 
-    question: Call
+    call: Call
     shard: int
     ask: ClaimAsk
     deadline: float
@@ -91,7 +91,7 @@
         Name, incarnation and peer address of this instance.
     links : Worker
         Sends messages to peers.
-    deliver_locally : callable of Received
+    deliver_local : callable of Received
         Delivers messages to the claim writer of this instance.
     """
 
@@ -101,14 +101,14 @@
         incarnation: str,
         address: str,
         links: Worker,
-        deliver_locally: Callable[[Received], None],
+        deliver_local: Callable[[Received], None],
     ) -> None:
         super().__init__("claimer", tick_interval=TICK_S)
         self._own_name = name
         self._incarnation = incarnation
         self._address = address
         self._links = links
-        self._deliver_locally = deliver_locally
+        self._deliver_local = deliver_local
         self._settings = ClaimSettings()
         self._view = View()
         self._pending: dict[str, _PendingClaim] = {}
@@ -176,25 +176,23 @@
         if pending is None:
             return
         record = ClaimRecord(
-            pending.question.body.digest,
+            pending.call.body.digest,
             reply.body_digest,
             reply.holder,
             reply.incarnation,
             reply.attempt,
             0,
         )
-        pending.question.reply(ClaimVerdict(ClaimResult(reply.result), record))
+        pending.call.reply(ClaimVerdict(ClaimResult(reply.result), record))
 
     def _expire(self) -> None:
         now = asyncio.get_running_loop().time()
         for number, pending in list(self._pending.items()):
             if pending.deadline <= now:
                 del self._pending[number]
-                pending.question.reply(ClaimVerdict(ClaimResult.UNAVAILABLE))
-                if not pending.question.body.lookup:
-                    self._release(
-                        pending.question.body.digest, pending.question.body.attempt
-                    )
+                pending.call.reply(ClaimVerdict(ClaimResult.UNAVAILABLE))
+                if not pending.call.body.lookup:
+                    self._release(pending.call.body.digest, pending.call.body.attempt)
 
     def _release(self, digest: bytes, attempt: str) -> None:
         shard = shard_of(digest, self._settings.shards)
@@ -210,7 +208,7 @@
         if writer is None:
             return None
         if writer.name == self._own_name:
-            self._deliver_locally(Received(self._address, message))
+            self._deliver_local(Received(self._address, message))
         else:
             self._links.tell(Send(writer.peer_address, message))
         return writer
--- a/hibiscusstep/delivery.py
+++ b/hibiscusstep/delivery.py
@@ -7,6 +7,7 @@
 
 from hibiscusstep.admission import AdmittedRequest
 from hibiscusstep.answer_sink import AnswerSink
+from hibiscusstep.answer_store import AnswerState, KeptAnswer
 from hibiscusstep.attempt import Attempt, RetryElsewhere
 from hibiscusstep.configuration.models import Configuration
 from hibiscusstep.dispatch_client import DispatchClient
@@ -14,7 +15,6 @@
 from hibiscusstep.explain import Explainer
 from hibiscusstep.grant_messages import Granted, GrantRequest, Refused
 from hibiscusstep.idempotency import KeyGuard
-from hibiscusstep.kept_answers import AnswerState, KeptAnswer
 from hibiscusstep.mailbox import MailboxFull
 from hibiscusstep.peer import WorkInfo
 from hibiscusstep.problem import Problem
@@ -162,7 +162,7 @@
         self._services.retries.record_request()
         try:
             async with asyncio.timeout(admitted.route.answer_timeout) as self._timeout:
-                if admitted.needs_claim and await self._replay_earlier():
+                if admitted.needs_claim and await self._replay_earlier_answer():
                     return
                 for number in range(1, admitted.route.max_attempts + 1):
                     if await self._try_target(number):
@@ -173,7 +173,7 @@
             self._timeout = None
         raise self._progress.failed("No target gave a whole answer.")
 
-    async def _replay_earlier(self) -> bool:
+    async def _replay_earlier_answer(self) -> bool:
         """Replay the answer of an earlier attempt with the key, if there was one."""
         earlier = await self._services.keys.look_up(self._admitted)
         return earlier is not None and await self._send_replay(earlier)
--- a/hibiscusstep/dispatch_client.py
+++ b/hibiscusstep/dispatch_client.py
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, eq=False)
 class _TrackedRequest:
-    question: Call
+    call: Call
     grant_request: GrantRequest
     received_at: float
     target: str = ""
@@ -142,15 +142,17 @@
             case RequestEnded():
                 self._send_finished(message)
             case Received(sender=sender, message=PoolGrant() as grant):
-                self._note_sign_of_life(grant.pool, sender)
+                self._record_dispatcher_message(grant.pool, sender)
                 self._handle_grant(grant)
             case Received(sender=sender, message=PoolRefuse() as refusal):
-                self._note_sign_of_life(refusal.pool, sender)
+                self._record_dispatcher_message(refusal.pool, sender)
                 self._handle_refusal(refusal)
             case Received(sender=sender, message=PoolQueued() as keepalive):
-                self._note_sign_of_life(keepalive.pool, sender, keepalive.again_in)
+                self._record_dispatcher_message(
+                    keepalive.pool, sender, keepalive.again_in
+                )
             case Received(sender=sender, message=PoolInquire(pool=pool)):
-                self._note_sign_of_life(pool, sender)
+                self._record_dispatcher_message(pool, sender)
                 tracked = list(self._pool_state(pool).running)
                 self._send_to(sender, PoolHeld(pool, self._own_name, tracked))
             case Received(message=PoolStop(pool=pool, ask=ask)):
@@ -234,7 +236,7 @@
     def _handle_grant(self, grant: PoolGrant) -> None:
         state = self._pool_state(grant.pool)
         tracked = state.waiting.pop(grant.ask, None)
-        if tracked is None or tracked.question.answer.done():
+        if tracked is None or tracked.call.answer.done():
             self._send(grant.pool, PoolWithdraw(grant.pool, grant.ask))
             return
         elapsed = asyncio.get_running_loop().time() - tracked.received_at
@@ -244,23 +246,23 @@
             return
         tracked.target = grant.target
         state.running[grant.ask] = tracked
-        tracked.question.reply(Granted(grant.ask, grant.target))
+        tracked.call.reply(Granted(grant.ask, grant.target))
 
     def _handle_refusal(self, refusal: PoolRefuse) -> None:
         tracked = self._pool_state(refusal.pool).waiting.pop(refusal.ask, None)
         if tracked:
             reason = RefusalReason(refusal.reason)
-            tracked.question.reply(Refused(reason, refusal.retry_after))
+            tracked.call.reply(Refused(reason, refusal.retry_after))
 
     def _refuse_overdue(self) -> None:
         now = asyncio.get_running_loop().time()
         for pool, state in self._pool_states.items():
             for ask, tracked in list(state.waiting.items()):
-                is_cancelled = tracked.question.answer.done()
+                is_cancelled = tracked.call.answer.done()
                 if is_cancelled or self._is_overdue(state, tracked.grant_request, now):
                     del state.waiting[ask]
                     self._send(pool, PoolWithdraw(pool, ask))
-                    tracked.question.reply(
+                    tracked.call.reply(
                         Refused(RefusalReason.UNAVAILABLE, UNAVAILABLE_RETRY_S)
                     )
 
@@ -284,7 +286,9 @@
         )
         return latest + DECISION_GRACE_S < now
 
-    def _note_sign_of_life(self, pool: str, sender: str, again_in: float = 0.0) -> None:
+    def _record_dispatcher_message(
+        self, pool: str, sender: str, again_in: float = 0.0
+    ) -> None:
         """Record that the dispatcher of a pool is alive.
 
         Parameters
@@ -347,7 +351,7 @@
         return self._dispatcher_names[pool]
 
     def _is_standby(self, pool: str, state: _PoolState) -> bool:
-        """Whether to use the standby dispatcher for a pool.
+        """Whether to use uses standby dispatch for a pool.
 
         It is used if the pool's dispatcher is silent or if there is none: after a
         restart of all instances, none is ready to dispatch for about a second. Waiting
--- a/hibiscusstep/forwarding/grant_client.py
+++ b/hibiscusstep/forwarding/grant_client.py
@@ -105,7 +105,7 @@
         while True:
             if self._quarantine_status.is_quarantined:
                 return self._quarantine_refusal()
-            if seconds := await self._wait_for_available_target():
+            if seconds := await self._wait_for_target_after_backoff():
                 return Refusal(seconds, "all targets asked this instance to back off")
             reply = await self._request_grant()
             if isinstance(reply, Refused):
@@ -156,7 +156,7 @@
         max_wait = GRANT_WAIT_SHARE * self._incoming.route.objective
         return min(started + max_wait, self._incoming.deadline)
 
-    async def _wait_for_available_target(self) -> float:
+    async def _wait_for_target_after_backoff(self) -> float:
         """Wait while all targets of the pool have asked this instance to back off.
 
         Returns
@@ -200,7 +200,7 @@
             list(self._avoid),
             data_centre=self._context.data_centre,
             identity=incoming.identity,
-            suspect=self._quarantine_status.suspect,
+            suspect=self._quarantine_status.suspect_fingerprint,
             resting=self._context.target_backoff.names_backing_off(self._now()),
             route=incoming.route.name,
         )
@@ -214,7 +214,7 @@
             incoming.deadline,
         )
         try:
-            reply = await self._context.desk.ask(grant_request)
+            reply = await self._context.dispatch_client.ask(grant_request)
         except MailboxFull:
             reply = Refused(m.RefusalReason.LOAD, 1.0)
         if isinstance(reply, Granted):
@@ -237,7 +237,7 @@
         """Report the first event of the response to the dispatcher."""
         if self._grant is not None:
             seconds = self._now() - self.granted_at
-            self._context.desk.tell(
+            self._context.dispatch_client.tell(
                 FirstTokenReceived(self._incoming.pool, self._grant.ask, seconds)
             )
 
@@ -245,7 +245,7 @@
         self,
         outcome: m.GrantOutcome,
         timing: StreamTiming | None = None,
-        first: bool = False,
+        from_one_target: bool = False,
     ) -> None:
         """Return the grant to the dispatcher.
 
@@ -255,7 +255,7 @@
             How the attempt ended.
         timing : StreamTiming or None
             Timing of the response's events; None if nothing was sent.
-        first : bool
+        from_one_target : bool
             Whether all of these events came from one target.
         """
         if self._grant is None:
@@ -266,10 +266,10 @@
             outcome,
             timing.events if timing else 0,
             timing.decode_seconds if timing else 0.0,
-            longest_pause=timing.longest_pause if timing and first else 0.0,
+            longest_pause=timing.longest_pause if timing and from_one_target else 0.0,
         )
         self._grant = None
-        self._context.desk.tell(ended)
+        self._context.dispatch_client.tell(ended)
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/hibiscusstep/forwarding/instance.py
+++ b/hibiscusstep/forwarding/instance.py
@@ -38,7 +38,7 @@
 from hibiscusstep.forwarding.serving import serve
 from hibiscusstep.forwarding.state_distributor import StateDistributor
 from hibiscusstep.forwarding.target_backoff import TargetBackoff
-from hibiscusstep.forwarding.target_estimates import EstimateKeeper
+from hibiscusstep.forwarding.target_estimates import SavedEstimatesWorker
 from hibiscusstep.forwarding.target_messages import from_target_states
 from hibiscusstep.forwarding.windowed_retry_budget import WindowedRetryBudget
 from hibiscusstep.log import count_dropped_lines, decision, flush_periodically
@@ -200,7 +200,7 @@
         self._environment.on_store_restored(self._on_store_restored)
         children = [
             *(Child(worker.name, worker.run) for worker in self._workers),
-            Child("sweeper", self._sweep),
+            Child("sweeper", self._maintain),
             Child("log", flush_periodically),
             Child("registration", self._register, RestartPolicy.TRANSIENT),
             Child("metrics", self._serve_metrics),
@@ -275,7 +275,7 @@
             settings,
             incarnation,
             self._links,
-            self._environment.roster,
+            self._environment.instance_directory,
             self._on_view,
             settings.capacity,
             settings.max_mesh_size,
@@ -295,12 +295,16 @@
             self._targets,
             lambda: self._catalog.revision if self._targets_known else 0,
         )
-        self._estimate_keeper = EstimateKeeper(
-            self._environment.beliefs,
+        self._saved_estimates = SavedEstimatesWorker(
+            self._environment.estimate_store,
             lambda estimates: self._dispatcher_host.tell(estimates),
         )
         self._rollouts = RolloutCoordinator(
-            name, address, self._links, self._environment.rollouts, self._publish_plan
+            name,
+            address,
+            self._links,
+            self._environment.rollout_store,
+            self._publish_plan,
         )
         self._dispatcher_host = DispatcherHost(
             name,
@@ -311,7 +315,7 @@
             dispatcher_class=partial(SlotDispatcher, switches=settings.switches),
             polls_load=False,
             has_standby=True,
-            keep_estimates=self._estimate_keeper.tell
+            keep_estimates=self._saved_estimates.tell
             if settings.switches.kept_beliefs
             else None,
             on_rollout=self._rollouts.tell,
@@ -324,18 +328,18 @@
             self._deliver_message,
             DISPATCHER_TIMEOUT_S,
         )
-        self._usage_worker = SavedUsageWorker(
-            self._environment.use,
+        self._saved_usage = SavedUsageWorker(
+            self._environment.usage_store,
             bounds.quota_window,
             lambda usage: self._quotas.tell(usage),
         )
         self._quotas = QuotaLimiter(
-            incarnation, address, self._links, bounds, self._usage_worker
+            incarnation, address, self._links, bounds, self._saved_usage
         )
         self._metrics = ForwardingMetrics()
         self._connections = ConnectionPool()
         self._quarantine = Quarantine(
-            address, self._links, self._connections, self._environment.suspects
+            address, self._links, self._connections, self._environment.suspect_store
         )
         self._retries = WindowedRetryBudget(bounds, self._started_at)
         self._context = ForwardingContext(
@@ -360,10 +364,10 @@
             self._dispatcher_host,
             self._dispatch_client,
             self._quotas,
-            self._usage_worker,
+            self._saved_usage,
             self._quarantine,
             self._rollouts,
-            *([self._estimate_keeper] if settings.switches.kept_beliefs else []),
+            *([self._saved_estimates] if settings.switches.kept_beliefs else []),
         ]
         self._receivers = self._map_receivers()
 
@@ -510,12 +514,12 @@
         for worker in (self._quotas, self._quarantine):
             worker.tell(StoreRestored())
 
-    async def _sweep(self) -> None:
+    async def _maintain(self) -> None:
         eligible = False
         suspensions = SuspensionDetector()
         for sweep_number in itertools.count(1):
             await asyncio.sleep(SWEEP_INTERVAL_S)
-            self._connections.sweep()
+            self._connections.close_expired()
             self._record_suspension(suspensions.check())
             self._choose_target_source()
             self._distributor.request_newer_table()
--- a/hibiscusstep/load/emulated_target.py
+++ b/hibiscusstep/load/emulated_target.py
@@ -4,14 +4,14 @@
 
 import numpy as np
 
-from hibiscusstep.load.drawn_rollout import (
+from hibiscusstep.load.rollout_scenario import (
     NEW_VERSION,
     OLD_VERSION,
     ORDER_AT_S,
     SLOWDOWN_PER_REQUEST,
     Defect,
+    EmulatedRoute,
     RolloutScenario,
-    Route,
 )
 from hibiscusstep.routing import messages as m
 from hibiscusstep.routing.engine_model import ENGINE_STEP_S
@@ -89,14 +89,16 @@
     running: dict[str, m.Work] = field(default_factory=dict)
     down_until: float = 0.0
 
-    def begin(self, work: m.Work, route: Route, size: float, now: float) -> EmulatedRun:
+    def begin(
+        self, work: m.Work, route: EmulatedRoute, size: float, now: float
+    ) -> EmulatedRun:
         """Start a request and return its course.
 
         Parameters
         ----------
         work : Work
             The request.
-        route : Route
+        route : EmulatedRoute
             Its route.
         size : float
             Tokens of its answer, or its seconds at a plain service of slowness 1.
@@ -110,7 +112,7 @@
         first, seconds, events = self._times(
             size, scenario.slow_factor if slow else 1.0, now
         )
-        failed = self.rng.random() < route.error_share or self._is_grey(now)
+        failed = self.rng.random() < route.error_share or self._has_grey_failure(now)
         failed |= bad and scenario.defect is Defect.FAILS
         outcome = m.GrantOutcome.FAILED if failed else m.GrantOutcome.DONE
         if failed:
@@ -134,7 +136,7 @@
         seconds = first + events * TOKENS_PER_EVENT * ENGINE_STEP_S * time_factor
         return first, seconds, events
 
-    def _is_bad(self, route: Route, now: float) -> bool:
+    def _is_bad(self, route: EmulatedRoute, now: float) -> bool:
         scenario = self.scenario
         if self.version == OLD_VERSION or scenario.defect is Defect.NONE:
             return False
@@ -153,7 +155,7 @@
             factor *= scenario.warm_up_factor
         return factor
 
-    def _is_grey(self, now: float) -> bool:
+    def _has_grey_failure(self, now: float) -> bool:
         return self._is_affected("grey", now) and self.rng.random() < GREY_FAILURE_SHARE
 
     def _is_affected(self, kind: str, now: float) -> bool:
--- a/hibiscusstep/routing/target_subset.py
+++ b/hibiscusstep/routing/target_subset.py
@@ -1,4 +1,4 @@
-"""hibiscusstep.routing.target_subset: the target subset of a standby dispatcher."""
+"""hibiscusstep.routing.target_subset: the targets of a standby dispatcher."""
 
 import math
 from collections.abc import Iterable
--- a/hibiscusstep/routing/version_partition.py
+++ b/hibiscusstep/routing/version_partition.py
@@ -36,7 +36,7 @@
     ----------
     selector : TargetSelector
         Selects targets for requests.
-    is_standalone : bool
+    is_standby : bool
         Whether this is for the standby dispatcher of a single instance. It sends no
         requests to a version that is not current, since the exposure budget of the
         rollout would not count them.
@@ -49,9 +49,9 @@
         The rollout in progress.
     """
 
-    def __init__(self, selector: TargetSelector, is_standalone: bool) -> None:
+    def __init__(self, selector: TargetSelector, is_standby: bool) -> None:
         self._selector = selector
-        self._is_standalone = is_standalone
+        self._is_standby = is_standby
         self._canaries = TargetIndex()
         self._roles: dict[str, _Role] = {}
         # Index of each target that is not barred.
@@ -73,8 +73,8 @@
 
     def configure(self, pool: PlannedPool) -> None:
         """Apply the current versions and the rollout, before targets are assigned."""
-        self._serving_versions = pool.serving
-        planned = None if self._is_standalone else pool.rollout
+        self._serving_versions = pool.current_versions
+        planned = None if self._is_standby else pool.rollout
         if planned is None:
             self.rollout = None
         elif self.rollout and self.rollout.planned.number == planned.number:
--- a/tests/quota_region.py
+++ b/tests/quota_region.py
@@ -41,7 +41,7 @@
         self.sent.append(send)
 
 
-class FakeUseStore(UsageStore):
+class FakeDocumentStore(UsageStore):
     """A store that counts its calls and fails while `unavailable` is set."""
 
     def __init__(self):
@@ -71,9 +71,9 @@
     worker: SavedUsageWorker
     started: float
     next_tick: float
-    told: tuple = ()
+    last_view_values: tuple = ()
     seen: frozenset = field(default_factory=frozenset)
-    silent: set = field(default_factory=set)
+    unreachable: set = field(default_factory=set)
 
 
 @dataclass(order=True)
@@ -96,20 +96,20 @@
         Quota of the customer in tokens per second; its burst is as many tokens.
     seed : int
         Seed of the requests.
-    kept : bool
+    has_store : bool
         Whether there is a store for the usage.
     """
 
     WINDOW_S = 8.0
 
-    def __init__(self, count, monkeypatch, rate=60_000.0, seed=1, kept=False):
+    def __init__(self, count, monkeypatch, rate=60_000.0, seed=1, has_store=False):
         self.now = 1000.0
         monkeypatch.setattr(asyncio.get_running_loop(), "time", lambda: self.now)
         self.bounds = Bounds(
             quota_window=self.WINDOW_S, quota_overage=0.1, quota_slack=140_000.0
         )
         self.rule = CustomerRule("c", frozenset(), None, Quota(rate, rate, 10))
-        self.store = FakeUseStore() if kept else None
+        self.store = FakeDocumentStore() if has_store else None
         self.history = []
         self.refused = 0
         self.asked = 0
@@ -178,20 +178,20 @@
             reachable = {n for n in connected if self._same_side(n, number)}
             seen = frozenset(reachable | {number} if number in connected else {number})
             lost = {n for n in instance.seen - seen if not self._same_side(n, number)}
-            instance.silent = (instance.silent | lost) - seen
+            instance.unreachable = (instance.unreachable | lost) - seen
             instance.seen = seen
-            view_values = seen, len(instance.silent), self._listed(instance)
-            if view_values == instance.told:
+            view_values = seen, len(instance.unreachable), self._listed(instance)
+            if view_values == instance.last_view_values:
                 continue
-            instance.told = view_values
+            instance.last_view_values = view_values
             view = self.view(number, *view_values)
             await instance.limiter.handle(ViewChanged(view))
             await instance.limiter.handle(CustomersChanged((self.rule,)))
 
-    def view(self, number, seen, silent, listed):
+    def view(self, number, seen, unreachable, listed):
         """Return the membership view of an instance."""
         members = {f"i{n}": self.member(n) for n in seen}
-        return View(members, silent, listed_at_startup=listed)
+        return View(members, unreachable, listed_count_at_startup=listed)
 
     def member(self, number, relay=True):
         incarnation = self.instances[number].incarnation
@@ -275,7 +275,7 @@
 
     RELAYS = 2
 
-    def view(self, number, seen, silent, listed):
+    def view(self, number, seen, unreachable, listed):
         """Return the view; followers prefer their own relay if they see it."""
         relays = [n for n in seen if n < self.RELAYS]
         members = {f"i{n}": self.member(n, n in relays) for n in {*relays, number}}
@@ -284,10 +284,10 @@
             parent = f"a{self._parent(number, relays)}" if relays else ""
             return View(
                 members,
-                silent,
+                unreachable,
                 parent=parent,
                 other_instances=others,
-                listed_at_startup=listed,
+                listed_count_at_startup=listed,
             )
         followers = {
             f"i{n}": self.member(n, relay=False)
@@ -296,7 +296,11 @@
         }
         others -= len(followers)
         return View(
-            members, silent, followers, other_instances=others, listed_at_startup=listed
+            members,
+            unreachable,
+            followers,
+            other_instances=others,
+            listed_count_at_startup=listed,
         )
 
     def _parent(self, number, relays):
--- a/tests/test_emulated_target.py
+++ b/tests/test_emulated_target.py
@@ -5,19 +5,19 @@
 import numpy as np
 import pytest
 
-from hibiscusstep.load.drawn_rollout import (
+from hibiscusstep.load.emulated_target import CALLER_TIMEOUT_S, EmulatedTarget
+from hibiscusstep.load.rollout_scenario import (
     NEW_VERSION,
     OLD_VERSION,
     ORDER_AT_S,
     Defect,
     Disturbance,
-    Route,
+    EmulatedRoute,
     draw_scenario,
 )
-from hibiscusstep.load.emulated_target import CALLER_TIMEOUT_S, EmulatedTarget
 from hibiscusstep.routing import messages as m
 
-ROUTE = Route("r0", 1.0, 0.1, 0.0, 0.0)
+ROUTE = EmulatedRoute("r0", 1.0, 0.1, 0.0, 0.0)
 AFTER_ORDER_S = ORDER_AT_S + 10.0
 PLAIN_SCENARIO = replace(
     draw_scenario(3), engine=False, slots=4, defect=Defect.FAILS, defect_share=1.0,
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -152,7 +152,7 @@
     async def _call_starting_instance(self, site):
         """Start a call to an instance that has no configuration yet."""
         await site.start(TargetStandIn("t1", lambda n, f, b: [answer(f)]))
-        # Without the roster it cannot get the configuration from its peer either.
+        # Without the directory it cannot get the configuration from its peer either.
         site.store.refused |= {"config", "hibiscusstep-instances"}
         await site.add_instance(wait=False)
         assert site.instances[1].version == 0
@@ -399,12 +399,12 @@
     """
 
     async def _start(self, site, script):
-        first = TargetStandIn("t1", script, born=1000)
+        first = TargetStandIn("t1", script, started_ms=1000)
         await site.start(first)
         return first
 
     async def _restart(self, site):
-        restarted = TargetStandIn("t1", self._answer_or_resume, born=2000)
+        restarted = TargetStandIn("t1", self._answer_or_resume, started_ms=2000)
         await site.add_target(restarted)
         async with asyncio.timeout(BOUND_S):
             while "t1@2000" not in site.instances[0].targets:
--- a/tests/test_grant_monitor.py
+++ b/tests/test_grant_monitor.py
@@ -53,7 +53,7 @@
         asked, lost = _run_checks(monitor, 4.0)
         assert asked == {"i": 2.0}
         assert lost == {"a": pytest.approx(2.0 + ANSWER_TIMEOUT_S, abs=TICK_S + 0.001)}
-        assert monitor.asks_of_instance("i") == set()
+        assert monitor.grants_of_instance("i") == set()
 
     def test_confirmed_request_is_checked_again_later(self):
         monitor = GrantMonitor()
@@ -95,14 +95,14 @@
 
 
 class TestLostRequests:
-    def test_slots_of_a_silent_instance_are_freed_after_an_inquiry(self):
+    def test_slots_of_an_unreachable_instance_are_freed_after_an_inquiry(self):
         dispatcher = _dispatcher(1, targets=1)
         dispatcher.handle(_ask("a", "dead", 0.0), 0.0)
         dispatcher.handle(_ask("b", "i", 0.0), 0.0)
         decided = {}
         for n in range(40):
             now = n * TICK_S
-            for decision in dispatcher.handle(m.Tick(), now):
+            for decision in dispatcher.handle(m.TimePassed(), now):
                 decided.setdefault(type(decision), (round(now, 2), decision))
         assert decided[m.QueryGrants] == (MIN_OVERDUE_S, m.QueryGrants("dead"))
         assert decided[m.GrantLost][1].work.ask == "a"
@@ -116,14 +116,14 @@
         dispatcher.handle(_ask("a", "i", 0.0), 0.0)
         assert dispatcher.summary(0.0)["overdue"] == 0
         for n in range(12):
-            dispatcher.handle(m.Tick(), n * TICK_S)
+            dispatcher.handle(m.TimePassed(), n * TICK_S)
         assert dispatcher.summary(0.6)["overdue"] == 1
 
     def test_lost_request_counts_again_when_it_is_reported_held(self):
         dispatcher = _dispatcher(1, targets=1)
         dispatcher.handle(_ask("a", "i", 0.0), 0.0)
         for n in range(40):
-            dispatcher.handle(m.Tick(), n * TICK_S)
+            dispatcher.handle(m.TimePassed(), n * TICK_S)
         dispatcher.handle(m.HeldGrants("i", frozenset(["a"])), 2.0)
         assert dispatcher.targets["t0"].available_slots(2.0) == 0
         dispatcher.handle(m.Finished("a", m.GrantOutcome.DONE), 2.1)
@@ -174,7 +174,7 @@
 
     def run(self, seconds):
         for n in range(int(seconds / TICK_S)):
-            self.at(n * TICK_S, self.dispatch, m.Tick())
+            self.at(n * TICK_S, self.dispatch, m.TimePassed())
             self.at(n * TICK_S, self.send_ask, f"a{n}", n % self.INSTANCES)
         while self.events and self.events[0][0] <= seconds:
             self.now, _number, action, arguments = heapq.heappop(self.events)
--- a/tests/test_account.py
+++ b/tests/test_log_analysis.py
@@ -1,4 +1,4 @@
-"""Tests of hibiscusstep.load.account."""
+"""Tests of hibiscusstep.load.log_analysis."""
 
 import json
 
@@ -6,7 +6,7 @@
 from click.testing import CliRunner
 
 from hibiscusstep.cmdline.load import main
-from hibiscusstep.load.account import (
+from hibiscusstep.load.log_analysis import (
     AttemptResult,
     LogAnalysis,
     _LogProcessor,
@@ -86,7 +86,7 @@
 
     def test_counts_by_data_centre_and_role(self):
         ends = (_attempt(5, instance="n1"), _attempt(6, instance="n2", request="r2"))
-        places = analyze_log([*self.LINES, *ends]).places
+        places = analyze_log([*self.LINES, *ends]).results_by_location
         assert places == {
             ("east", "relay"): {AttemptResult.IN_TIME: 1},
             ("west", "dispatcher"): {AttemptResult.IN_TIME: 1},
@@ -94,13 +94,15 @@
 
     def test_a_restarted_instance_is_a_follower(self):
         again = _line(4, "start", instance="n2", data_centre="west")
-        places = analyze_log([*self.LINES, again, _attempt(5, instance="n2")]).places
+        places = analyze_log(
+            [*self.LINES, again, _attempt(5, instance="n2")]
+        ).results_by_location
         assert list(places) == [("west", "follower")]
 
     def test_counts_grants_of_requests_that_never_end(self):
         grants = [_line(t, "grant", request=f"r{t}", due_in=1.0) for t in (1, 4, 5)]
         ends = [_attempt(6, request="r4")]
-        assert analyze_log([*grants, *ends]).unended == {0.0: 1, 4.0: 1}
+        assert analyze_log([*grants, *ends]).never_ended == {0.0: 1, 4.0: 1}
 
     def test_lines_are_sorted_by_time(self):
         grant = _line(4, "grant", request="r1", due_in=-1.5)
@@ -142,9 +144,9 @@
         assert plot.stat().st_size > 1000
 
 
-class TestCustomerUse:
+class TestCustomerUsage:
     def _use(self, *lines):
-        return analyze_log([_line(0, "start"), *lines]).use.heaviest()
+        return analyze_log([_line(0, "start"), *lines]).usage.heaviest()
 
     def _sent_attempt(self, second, counted, **fields):
         return _attempt(second, customer="c", counted=counted, **fields)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,7 +1,7 @@
 import asyncio
 
 import pytest
-from cluster import Cluster, until
+from cluster import Cluster, wait_until
 from fleet import free_ports
 from hypothesis import given
 from hypothesis import strategies as st
@@ -21,11 +21,13 @@
 
 
 class TestTracker:
-    def test_a_silent_member_is_unreachable_while_the_platform_lists_it(self):
+    def test_a_member_without_heartbeats_is_unreachable_while_the_platform_lists_it(
+        self,
+    ):
         tracker = HeartbeatTracker("own", 3.0)
         tracker.record_heartbeat(heartbeat(), 0.0)
         for now in (1.0, 2.0, 3.0, 4.0):
-            tracker.remove_silent(now)
+            tracker.remove_unreachable(now)
         assert set(tracker.view(OWN, {"x"}).members) == {"own"}
         assert tracker.view(OWN, {"x"}).has_unreachable
         assert tracker.view(OWN, None).has_unreachable
@@ -63,15 +65,15 @@
         tracker.record_heartbeat(heartbeat(), 0.0)
         for now in range(1, 8):
             assert tracker.record_beat("i1", 5, float(now))
-            tracker.remove_silent(float(now))
+            tracker.remove_unreachable(float(now))
         assert tracker.view(OWN).members["x"].version == 5
         assert not tracker.record_beat("i9", 1, 8.0)
 
     def test_a_pause_of_this_process_removes_no_members(self):
         tracker = HeartbeatTracker("own", 3.0)
         tracker.record_heartbeat(heartbeat(), 0.0)
-        tracker.remove_silent(0.5)
-        tracker.remove_silent(60.0)
+        tracker.remove_unreachable(0.5)
+        tracker.remove_unreachable(60.0)
         assert "x" in tracker.view(OWN).members
 
 
@@ -112,7 +114,7 @@
             for address, key in zip(addresses, keys, strict=True)
         ]
         tasks = [asyncio.create_task(link.run()) for link in links]
-        await until(lambda: all(link._server for link in links))
+        await wait_until(lambda: all(link._server for link in links))
         links[2].tell(Send(addresses[0], peer.NotDispatcher("forged")))
         links[1].tell(Send(addresses[0], peer.NotDispatcher("good")))
         delivered = await asyncio.wait_for(received.get(), 10)
@@ -129,15 +131,17 @@
         async with Cluster(tmp_path, instances=5) as cluster:
             cluster.platform.faults.down = True
             await cluster.kill("e3")
-            await cluster.settled()
+            await cluster.wait_settled()
             await cluster.start("e3")
-            await cluster.settled()
-            assert len(cluster.entries["e3"].view.members) == 5
+            await cluster.wait_settled()
+            assert len(cluster.instances["e3"].view.members) == 5
 
     @pytest.mark.parametrize("frames", [b"", b"x" * 16, b"x" * 16 + b"\xff" * 64])
     async def test_invalid_data_on_the_peer_port_is_ignored(self, tmp_path, frames):
         async with Cluster(tmp_path, instances=2) as cluster:
-            host, _, port = cluster.entries["e0"]._settings.peer_address.rpartition(":")
+            host, _, port = cluster.instances["e0"]._settings.peer_address.rpartition(
+                ":"
+            )
             _reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(frames)
             writer.close()
